--- /dev/null
+++ b/src/gateway/async-dispatcher.cc
@@ -0,0 +1,127 @@
+#include "src/gateway/async-dispatcher.h"
+
+#include <boost/asio/redirect_error.hpp>
+#include <boost/asio/use_awaitable.hpp>
+
+namespace swiftloft::gateway {
+
+namespace asio = boost::asio;
+
+AsyncDispatcher::AsyncDispatcher(asio::io_context& ioContext, const DispatcherOptions& options, policy::Generator generator)
+    : m_ioContext(ioContext)
+    , m_reducer(options, generator)
+    , m_timer(ioContext)
+{
+}
+
+AsyncDispatcher::CallHandle::CallHandle(AsyncDispatcher& dispatcher, CallId id)
+    : m_dispatcher(dispatcher)
+    , m_id(id)
+{
+}
+
+AsyncDispatcher::CallHandle::~CallHandle()
+{
+    m_dispatcher.m_waiters.erase(m_id);
+    m_dispatcher.m_onCancelAttempt.erase(m_id);
+    m_dispatcher.apply(dispatch::Closed { m_id });
+}
+
+asio::awaitable<CallDecision> AsyncDispatcher::CallHandle::submit(CallRequest request)
+{
+    return m_dispatcher.awaitDecision(m_id, dispatch::Arrived { m_id, std::move(request) });
+}
+
+asio::awaitable<CallDecision> AsyncDispatcher::CallHandle::reportAttemptEnd(AttemptEnd outcome)
+{
+    return m_dispatcher.awaitDecision(m_id, dispatch::AttemptEnded { m_id, outcome });
+}
+
+void AsyncDispatcher::CallHandle::reportResponseStarted()
+{
+    m_dispatcher.apply(dispatch::AnswerBegan { m_id });
+}
+
+void AsyncDispatcher::CallHandle::reportProgress()
+{
+    m_dispatcher.apply(dispatch::Progressed { m_id });
+}
+
+void AsyncDispatcher::CallHandle::setOnCancelAttempt(std::function<void()> hook)
+{
+    m_dispatcher.m_onCancelAttempt[m_id] = std::move(hook);
+}
+
+void AsyncDispatcher::CallHandle::reportCompleted()
+{
+    m_dispatcher.apply(dispatch::AttemptEnded { m_id, AttemptEnd::Answered });
+}
+
+asio::awaitable<CallDecision> AsyncDispatcher::awaitDecision(CallId id, dispatch::Event event)
+{
+    auto waiter = std::make_shared<Waiter>(m_ioContext);
+    m_waiters[id] = waiter;
+    apply(event);
+    while (!waiter->decision) {
+        boost::system::error_code ec;
+        co_await waiter->timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
+    }
+    m_waiters.erase(id);
+    co_return *waiter->decision;
+}
+
+void AsyncDispatcher::deliver(CallId id, CallDecision decision)
+{
+    auto it = m_waiters.find(id);
+    if (it == m_waiters.end())
+        return;
+    it->second->decision = std::move(decision);
+    it->second->timer.cancel();
+}
+
+void AsyncDispatcher::perform(const dispatch::TakeBack& effect)
+{
+    auto it = m_onCancelAttempt.find(effect.call);
+    if (it != m_onCancelAttempt.end())
+        it->second();
+}
+
+void AsyncDispatcher::perform(const dispatch::TellLeaving& effect)
+{
+    if (m_onServerLeaving)
+        m_onServerLeaving(effect.server);
+}
+
+void AsyncDispatcher::apply(const dispatch::Event& event)
+{
+    if (m_isClosed)
+        return;
+    auto effects = m_reducer.apply(Clock::now(), event);
+    for (auto& effect : effects)
+        std::visit([this](auto& it) { perform(it); }, effect);
+    // Comes with every event of every stream and changes no load.
+    if (std::holds_alternative<dispatch::Progressed>(event))
+        return;
+    armTimer();
+    bool isLoad = std::holds_alternative<dispatch::LoadArrived>(event) || std::holds_alternative<dispatch::SnapshotChanged>(event);
+    if (m_onLoadChanged && !isLoad)
+        m_onLoadChanged();
+}
+
+void AsyncDispatcher::armTimer()
+{
+    auto next = m_reducer.nextTick();
+    if (!next) {
+        m_timer.expires_at(TimePoint::max());
+        return;
+    }
+    if (m_timer.expiry() == *next)
+        return;
+    m_timer.expires_at(*next);
+    m_timer.async_wait([this](boost::system::error_code ec) {
+        if (!ec)
+            apply(dispatch::Ticked {});
+    });
+}
+
+} // namespace swiftloft::gateway
--- a/src/gateway/call-desk.h
+++ b/src/gateway/async-dispatcher.h
@@ -17,30 +17,30 @@
 using CallDecision = std::variant<dispatch::StartAttempt, dispatch::Refuse, dispatch::PassOn>;
 
 /// Lets calls, which are coroutines, ask the dispatcher and wait for its decisions. Belongs to the traffic thread.
-class CallDesk {
+class AsyncDispatcher {
 public:
-    CallDesk(boost::asio::io_context& ioContext, const DispatcherOptions& options, policy::Generator generator);
+    AsyncDispatcher(boost::asio::io_context& ioContext, const DispatcherOptions& options, policy::Generator generator);
 
     /// One call, from its arrival to its end. Closes it when destroyed, also when its coroutine is cancelled.
-    class Ticket {
+    class CallHandle {
     public:
-        Ticket(CallDesk& desk, CallId id);
-        ~Ticket();
-        Ticket(const Ticket&) = delete;
-        Ticket& operator=(const Ticket&) = delete;
+        CallHandle(AsyncDispatcher& dispatcher, CallId id);
+        ~CallHandle();
+        CallHandle(const CallHandle&) = delete;
+        CallHandle& operator=(const CallHandle&) = delete;
 
-        boost::asio::awaitable<CallDecision> arrive(CallRequest request);
-        boost::asio::awaitable<CallDecision> attemptEnded(AttemptEnd end);
-        void answerBegan();
-        void progressed();
+        boost::asio::awaitable<CallDecision> submit(CallRequest request);
+        boost::asio::awaitable<CallDecision> reportAttemptEnd(AttemptEnd outcome);
+        void reportResponseStarted();
+        void reportProgress();
         /// Called when the try in progress is to end.
-        void setOnTakeBack(std::function<void()> hook);
+        void setOnCancelAttempt(std::function<void()> hook);
         /// The whole answer has gone to the client.
-        void answered();
+        void reportCompleted();
         CallId id() const { return m_id; }
 
     private:
-        CallDesk& m_desk;
+        AsyncDispatcher& m_dispatcher;
         CallId m_id;
     };
 
@@ -48,7 +48,7 @@
     void apply(const dispatch::Event& event);
     /// From here on events have no effect: there is nobody left to carry out what follows from them.
     void close() { m_isClosed = true; }
-    const Dispatcher& dispatcher() const { return m_dispatcher; }
+    const Dispatcher& reducer() const { return m_reducer; }
     /// Called when requests began or ended, so that other entries can be told.
     void setOnLoadChanged(std::function<void()> hook) { m_onLoadChanged = std::move(hook); }
     using OnServerLeaving = std::function<void(const ServerLife& server)>;
@@ -66,7 +66,7 @@
         std::optional<CallDecision> decision;
     };
 
-    boost::asio::awaitable<CallDecision> decisionFor(CallId id, dispatch::Event event);
+    boost::asio::awaitable<CallDecision> awaitDecision(CallId id, dispatch::Event event);
     void deliver(CallId id, CallDecision decision);
     void perform(const dispatch::TakeBack& effect);
     void perform(const dispatch::TellLeaving& effect);
@@ -75,10 +75,10 @@
     void armTimer();
 
     boost::asio::io_context& m_ioContext;
-    Dispatcher m_dispatcher;
+    Dispatcher m_reducer;
     boost::asio::steady_timer m_timer;
     std::map<CallId, std::shared_ptr<Waiter>> m_waiters;
-    std::map<CallId, std::function<void()>> m_onTakeBack;
+    std::map<CallId, std::function<void()>> m_onCancelAttempt;
     std::function<void()> m_onLoadChanged;
     OnServerLeaving m_onServerLeaving;
     std::uint64_t m_lastId { 0 };
--- a/src/gateway/client-stream.cc
+++ b/src/gateway/downstream-connection.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/client-stream.h"
+#include "src/gateway/downstream-connection.h"
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -23,25 +23,25 @@
 constexpr milliseconds writeTimeout { 5000 };
 
 /// A client that got its last answer closes within a few round trips.
-constexpr milliseconds lingerFor { 400 };
+constexpr milliseconds lingerTimeout { 400 };
 constexpr std::size_t readSize = 4096;
 
-ReadProblem problemOf(const boost::system::error_code& ec, bool hasBegun)
+ReadError readErrorFrom(const boost::system::error_code& ec, bool hasStarted)
 {
     if (ec == http::error::header_limit)
-        return ReadProblem::HeaderTooLarge;
+        return ReadError::HeaderTooLarge;
     if (ec == http::error::body_limit)
-        return ReadProblem::BodyTooLarge;
+        return ReadError::BodyTooLarge;
     if (ec == beast::error::timeout)
-        return hasBegun ? ReadProblem::TooSlow : ReadProblem::Closed;
+        return hasStarted ? ReadError::TooSlow : ReadError::Closed;
     bool isBroken = ec == http::error::end_of_stream || ec == http::error::partial_message || ec.category() == asio::error::get_system_category()
         || ec.category() == asio::error::get_misc_category();
-    return isBroken ? ReadProblem::Closed : ReadProblem::Malformed;
+    return isBroken ? ReadError::Closed : ReadError::Malformed;
 }
 
 } // namespace
 
-ClientStream::ClientStream(asio::ip::tcp::socket socket)
+DownstreamConnection::DownstreamConnection(asio::ip::tcp::socket socket)
     : m_stream(std::move(socket))
 {
     boost::system::error_code ec;
@@ -50,7 +50,7 @@
     m_stream.socket().set_option(asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>(timeout), ec);
 }
 
-asio::awaitable<ReadProblem> ClientStream::read(const ClientLimits& limits, ClientRequest& request)
+asio::awaitable<ReadError> DownstreamConnection::readRequest(const ClientLimits& limits, ClientRequest& request)
 {
     boost::system::error_code ec;
     m_isIdle = true;
@@ -59,7 +59,7 @@
         auto bytes = co_await m_stream.async_read_some(m_buffer.prepare(readSize), redirect_error(use_awaitable, ec));
         m_buffer.commit(bytes);
         if (ec)
-            co_return ReadProblem::Closed;
+            co_return ReadError::Closed;
     }
     m_isIdle = false;
     http::request_parser<http::string_body> parser;
@@ -69,50 +69,50 @@
     co_await http::async_read_header(m_stream, m_buffer, parser, redirect_error(use_awaitable, ec));
     if (!ec && !parser.is_done()) {
         if (parser.get()[http::field::expect] == "100-continue") {
-            http::response<http::empty_body> go(http::status::continue_, parser.get().version());
-            co_await http::async_write(m_stream, go, redirect_error(use_awaitable, ec));
+            http::response<http::empty_body> interim(http::status::continue_, parser.get().version());
+            co_await http::async_write(m_stream, interim, redirect_error(use_awaitable, ec));
         }
         m_stream.expires_at(Clock::now() + limits.idleTimeout);
         co_await http::async_read(m_stream, m_buffer, parser, redirect_error(use_awaitable, ec));
     }
     if (ec)
-        co_return problemOf(ec, true);
+        co_return readErrorFrom(ec, true);
     request = parser.release();
     if (!request.keep_alive())
-        m_wantsClose = true;
-    co_return ReadProblem::None;
+        m_mustClose = true;
+    co_return ReadError::None;
 }
 
-asio::awaitable<void> ClientStream::write(ClientAnswer& answer)
+asio::awaitable<void> DownstreamConnection::writeResponse(ClientResponse& response)
 {
     m_stream.expires_at(Clock::now() + writeTimeout);
-    answer.keep_alive(!m_wantsClose);
-    co_await http::async_write(m_stream, answer, use_awaitable);
+    response.keep_alive(!m_mustClose);
+    co_await http::async_write(m_stream, response, use_awaitable);
 }
 
-asio::awaitable<void> ClientStream::writeHead(AnswerFields head)
+asio::awaitable<void> DownstreamConnection::writeHead(ResponseFields head)
 {
-    http::response<http::empty_body> answer(std::move(head));
-    answer.keep_alive(!m_wantsClose);
-    answer.chunked(true);
-    http::response_serializer<http::empty_body> serializer(answer);
+    http::response<http::empty_body> response(std::move(head));
+    response.keep_alive(!m_mustClose);
+    response.chunked(true);
+    http::response_serializer<http::empty_body> serializer(response);
     m_stream.expires_at(Clock::now() + writeTimeout);
     co_await http::async_write_header(m_stream, serializer, use_awaitable);
 }
 
-asio::awaitable<void> ClientStream::writeChunk(std::string bytes)
+asio::awaitable<void> DownstreamConnection::writeChunk(std::string bytes)
 {
     m_stream.expires_at(Clock::now() + writeTimeout);
     co_await asio::async_write(m_stream, http::make_chunk(asio::buffer(bytes)), use_awaitable);
 }
 
-asio::awaitable<void> ClientStream::writeEnd()
+asio::awaitable<void> DownstreamConnection::writeLastChunk()
 {
     m_stream.expires_at(Clock::now() + writeTimeout);
     co_await asio::async_write(m_stream, http::make_chunk_last(), use_awaitable);
 }
 
-asio::awaitable<void> ClientStream::waitForClose()
+asio::awaitable<void> DownstreamConnection::waitForClose()
 {
     auto& socket = m_stream.socket();
     boost::system::error_code ec;
@@ -126,7 +126,7 @@
     co_await forever.async_wait(redirect_error(use_awaitable, ec));
 }
 
-void ClientStream::reset()
+void DownstreamConnection::reset()
 {
     boost::system::error_code ec;
     m_stream.socket().set_option(asio::socket_base::linger(true, 0), ec);
@@ -135,11 +135,11 @@
 
 /// Failure: closed at once, a connection on which the client has sent more is reset, and a reset or the end of the process
 /// can overtake the last bytes of the answer: the client sees a whole answer cut.
-asio::awaitable<void> ClientStream::close()
+asio::awaitable<void> DownstreamConnection::close()
 {
     boost::system::error_code ec;
     m_stream.socket().shutdown(asio::ip::tcp::socket::shutdown_send, ec);
-    m_stream.expires_at(Clock::now() + lingerFor);
+    m_stream.expires_at(Clock::now() + lingerTimeout);
     while (!ec) {
         m_buffer.clear();
         co_await m_stream.async_read_some(m_buffer.prepare(readSize), redirect_error(use_awaitable, ec));
--- a/src/gateway/client-stream.h
+++ b/src/gateway/downstream-connection.h
@@ -13,10 +13,10 @@
 namespace swiftloft::gateway {
 
 using ClientRequest = http::request<http::string_body>;
-using ClientAnswer = http::response<http::string_body>;
+using ClientResponse = http::response<http::string_body>;
 
 /// Why no request could be read.
-enum class ReadProblem {
+enum class ReadError {
     None,
     /// The client closed between requests, stayed idle too long or broke off.
     Closed,
@@ -28,18 +28,18 @@
 };
 
 /// One connection of a client. Belongs to the traffic thread.
-class ClientStream {
+class DownstreamConnection {
 public:
-    explicit ClientStream(boost::asio::ip::tcp::socket socket);
+    explicit DownstreamConnection(boost::asio::ip::tcp::socket socket);
 
     /// Reads the next request into `request`.
-    boost::asio::awaitable<ReadProblem> read(const ClientLimits& limits, ClientRequest& request);
+    boost::asio::awaitable<ReadError> readRequest(const ClientLimits& limits, ClientRequest& request);
     /// Writes a whole answer. Throws when the client is gone.
-    boost::asio::awaitable<void> write(ClientAnswer& answer);
+    boost::asio::awaitable<void> writeResponse(ClientResponse& response);
     /// Begins an answer of unknown length.
-    boost::asio::awaitable<void> writeHead(AnswerFields head);
+    boost::asio::awaitable<void> writeHead(ResponseFields head);
     boost::asio::awaitable<void> writeChunk(std::string bytes);
-    boost::asio::awaitable<void> writeEnd();
+    boost::asio::awaitable<void> writeLastChunk();
     /// Returns when the client has closed its side; never while it stays.
     boost::asio::awaitable<void> waitForClose();
     /// Ends the connection so that an answer in progress looks cut.
@@ -47,8 +47,8 @@
     bool isIdle() const { return m_isIdle; }
     /// Ends the connection in order: says that no more comes and waits until the client has closed too, or a moment.
     boost::asio::awaitable<void> close();
-    bool wantsClose() const { return m_wantsClose; }
-    void setWantsClose() { m_wantsClose = true; }
+    bool mustClose() const { return m_mustClose; }
+    void setMustClose() { m_mustClose = true; }
 
 private:
     boost::beast::tcp_stream m_stream;
@@ -56,7 +56,7 @@
     /// Between two requests.
     bool m_isIdle { true };
     /// No further request is read.
-    bool m_wantsClose { false };
+    bool m_mustClose { false };
 };
 
 } // namespace swiftloft::gateway
--- a/src/gateway/entry-daemon.cc
+++ b/src/gateway/entry-daemon.cc
@@ -3,7 +3,7 @@
 #include "src/gateway/control-state.h"
 #include "src/gateway/news-metrics.h"
 #include "src/gateway/store-follower.h"
-#include "src/gateway/traffic.h"
+#include "src/gateway/traffic-server.h"
 #include "src/log/logger.h"
 #include "src/process/fetch-page.h"
 #include "src/process/metrics.h"
@@ -27,11 +27,11 @@
 constexpr const char* configurationPage = "/published/configuration";
 constexpr const char* serversPage = "/published/servers";
 /// A pull crosses a data centre in milliseconds; a peer that takes longer is cut off.
-constexpr milliseconds pullWithin { 800 };
+constexpr milliseconds pullTimeout { 800 };
 /// A starting entry lists the servers after this long, and up to `listSpread` later: by then it has heard of its neighbours.
 /// Engines that lost power with it take a second and more until they serve again.
-constexpr milliseconds listAtStartAfter { 60 };
-constexpr milliseconds listSpread { 400 };
+constexpr milliseconds initialListDelay { 60 };
+constexpr milliseconds initialListJitter { 400 };
 /// What is left of the time to stop for the end of the process itself.
 constexpr milliseconds stopMargin { 700 };
 
@@ -40,7 +40,7 @@
     return topic == Topic::Configuration ? configurationPage : serversPage;
 }
 
-EntryMember selfOf(const EntrySettings& settings, Incarnation incarnation)
+EntryMember selfMember(const EntrySettings& settings, Incarnation incarnation)
 {
     return { settings.peers, incarnation, 0, settings.clients, settings.dataCentre, EntryState::Starting };
 }
@@ -48,21 +48,21 @@
 /// The control thread: carries out the effects of `ControlState` and feeds it events.
 class EntryControl {
 public:
-    EntryControl(const EntrySettings& settings, const Protocol& protocol, const StoreFactory& makeStore, process::SharedMetrics& metrics, Incarnation incarnation, Traffic& traffic)
+    EntryControl(const EntrySettings& settings, const Protocol& protocol, const StoreFactory& makeStore, process::SharedMetrics& metrics, Incarnation incarnation, TrafficServer& traffic)
         : m_settings(settings)
         , m_traffic(traffic)
         , m_store(makeStore(m_ioContext))
-        , m_state(selfOf(settings, incarnation), settings.seeds, settings.leastEntries, protocol, policy::Generator(std::random_device {}()), Clock::now())
+        , m_state(selfMember(settings, incarnation), settings.seeds, settings.leastEntries, protocol, policy::Generator(std::random_device {}()), Clock::now())
         , m_pages(m_ioContext, settings.peers)
         , m_metricsPages(m_ioContext, settings.metrics)
         , m_stop(m_ioContext, [this](int count) { onStop(count); })
         , m_hangUp(m_ioContext, [] { log::write(log::Event::SettingsFileChanged, ""); })
         , m_timer(m_ioContext)
-        , m_configuration(m_ioContext, m_store, Topic::Configuration, [this](auto& event) { apply(event); })
-        , m_servers(m_ioContext, m_store, Topic::Servers, [this](auto& event) { apply(event); })
+        , m_configurationFollower(m_ioContext, m_store, Topic::Configuration, [this](auto& event) { apply(event); })
+        , m_serversFollower(m_ioContext, m_store, Topic::Servers, [this](auto& event) { apply(event); })
     {
-        m_news = NewsSocket::create(m_ioContext, settings.peers, [this](auto&, NewsMessage message) { onNews(std::move(message)); }).value();
-        m_news->setOnMoved(countInto(metrics, "swiftloft_entry"));
+        m_controlSocket = NewsSocket::create(m_ioContext, settings.peers, [this](auto&, NewsMessage message) { onMessage(std::move(message)); }).value();
+        m_controlSocket->setOnMoved(countInto(metrics, "swiftloft_entry"));
         m_traffic.setOnLoadsMeasured([this](std::vector<ServiceLoad> loads) {
             asio::post(m_ioContext, [this, loads = std::move(loads)] { apply(control::LoadsMeasured { loads }); });
         });
@@ -72,15 +72,15 @@
         for (auto topic : { Topic::Configuration, Topic::Servers })
             m_pages.add(pageOf(topic), [this, topic] { return publishedPage(topic); });
         m_metricsPages.add("/metrics", [&metrics] { return process::StatusAnswer { 200, "text/plain; version=0.0.4", metrics.text() }; });
-        m_configuration.start(Clock::now());
-        m_servers.start(firstServerList());
+        m_configurationFollower.start(Clock::now());
+        m_serversFollower.start(initialServerListAt());
         tick();
     }
 
     /// Returns when the traffic thread has ended.
     void run() { m_ioContext.run(); }
     /// From any thread.
-    void end()
+    void stop()
     {
         asio::post(m_ioContext, [this] { m_ioContext.stop(); });
     }
@@ -89,11 +89,11 @@
     /// Failure: hundreds of entries start together, and each lists all servers at the store, in several pages. Spread, the
     /// first ones list and tell, and the others fetch the list from their neighbours. The configuration is a single item,
     /// and is asked for at once: it must not come from a peer that is cut off.
-    static TimePoint firstServerList()
+    static TimePoint initialServerListAt()
     {
         policy::Generator generator(std::random_device {}());
-        boost::random::uniform_int_distribution<int> spread(0, static_cast<int>(listSpread.count()));
-        return Clock::now() + listAtStartAfter + milliseconds(spread(generator));
+        boost::random::uniform_int_distribution<int> spread(0, static_cast<int>(initialListJitter.count()));
+        return Clock::now() + initialListDelay + milliseconds(spread(generator));
     }
 
     void apply(const control::Event& event)
@@ -112,18 +112,18 @@
     {
         auto bytes = encode(NewsMessage(effect.hello));
         for (auto& target : effect.to)
-            m_news->sendEncoded(target, NewsKind::Hello, bytes);
+            m_controlSocket->sendEncoded(target, NewsKind::Hello, bytes);
     }
 
     void perform(const control::SendBrief& effect)
     {
-        m_news->send(Endpoint(effect.to.address(), m_settings.agentPort), effect.brief);
+        m_controlSocket->send(Endpoint(effect.to.address(), m_settings.agentPort), effect.brief);
     }
 
     void perform(const control::SetWatching& effect)
     {
-        m_configuration.setActive(effect.isOn);
-        m_servers.setActive(effect.isOn);
+        m_configurationFollower.setActive(effect.isOn);
+        m_serversFollower.setActive(effect.isOn);
     }
 
     void perform(const control::Pull& effect)
@@ -135,7 +135,7 @@
     {
         std::optional<PublishedItems> items;
         try {
-            auto body = co_await process::fetchPage(m_ioContext, effect.from, pageOf(effect.topic), Clock::now() + pullWithin);
+            auto body = co_await process::fetchPage(m_ioContext, effect.from, pageOf(effect.topic), Clock::now() + pullTimeout);
             items = decodeItems(body).value();
         } catch (const std::exception& error) {
             log::write(log::Event::PullFailed, "from={}:{} page={} problem=\"{}\"", effect.from.address().to_string(), effect.from.port(), pageOf(effect.topic), error.what());
@@ -146,7 +146,7 @@
             apply(control::PullFailed { effect.topic });
     }
 
-    void onNews(NewsMessage message)
+    void onMessage(NewsMessage message)
     {
         if (auto* hello = std::get_if<Hello>(&message))
             apply(control::HelloArrived { std::move(*hello) });
@@ -183,7 +183,7 @@
 
     asio::io_context m_ioContext { 1 };
     const EntrySettings& m_settings;
-    Traffic& m_traffic;
+    TrafficServer& m_traffic;
     Store m_store;
     ControlState m_state;
     process::StatusServer m_pages;
@@ -191,9 +191,9 @@
     process::StopSignals m_stop;
     process::HangUpSignal m_hangUp;
     asio::steady_timer m_timer;
-    StoreFollower m_configuration;
-    StoreFollower m_servers;
-    std::shared_ptr<NewsSocket> m_news;
+    StoreFollower m_configurationFollower;
+    StoreFollower m_serversFollower;
+    std::shared_ptr<NewsSocket> m_controlSocket;
 };
 
 } // namespace
@@ -201,11 +201,11 @@
 void runEntry(const EntrySettings& settings, const Protocol& protocol, const StoreFactory& makeStore, Incarnation incarnation)
 {
     process::SharedMetrics metrics;
-    Traffic traffic(settings, protocol, metrics, incarnation);
+    TrafficServer traffic(settings, protocol, metrics, incarnation);
     EntryControl control(settings, protocol, makeStore, metrics, incarnation, traffic);
     std::thread thread([&] {
         traffic.run();
-        control.end();
+        control.stop();
     });
     control.run();
     thread.join();
--- a/src/gateway/event-splitter.cc
+++ b/src/gateway/event-splitter.cc
@@ -10,7 +10,7 @@
 constexpr std::string_view eventEndCrLf = "\r\n\r\n";
 constexpr std::string_view idField = "id:";
 
-std::optional<std::uint64_t> numberIn(std::string_view text)
+std::optional<std::uint64_t> parseNumber(std::string_view text)
 {
     while (!text.empty() && text.front() == ' ')
         text.remove_prefix(1);
@@ -27,7 +27,7 @@
         auto end = event.find('\n');
         auto line = event.substr(0, end);
         if (line.starts_with(idField))
-            return numberIn(line.substr(idField.size()));
+            return parseNumber(line.substr(idField.size()));
         if (end == std::string_view::npos)
             break;
         event.remove_prefix(end + 1);
@@ -47,20 +47,20 @@
 
 } // namespace
 
-std::vector<StreamEvent> EventSplitter::take(std::string_view bytes)
+std::vector<StreamEvent> EventSplitter::append(std::string_view bytes)
 {
-    m_rest.append(bytes);
+    m_partialEvent.append(bytes);
     std::vector<StreamEvent> events;
     std::size_t begin = 0;
     for (;;) {
-        auto rest = std::string_view(m_rest).substr(begin);
+        auto rest = std::string_view(m_partialEvent).substr(begin);
         auto end = endOfEvent(rest);
         if (end == std::string_view::npos)
             break;
         events.push_back({ std::string(rest.substr(0, end)), idOf(rest.substr(0, end)) });
         begin += end;
     }
-    m_rest.erase(0, begin);
+    m_partialEvent.erase(0, begin);
     return events;
 }
 
--- a/src/gateway/event-splitter.h
+++ b/src/gateway/event-splitter.h
@@ -22,13 +22,13 @@
 class EventSplitter {
 public:
     /// Takes the next bytes and returns the events that they complete.
-    std::vector<StreamEvent> take(std::string_view bytes);
+    std::vector<StreamEvent> append(std::string_view bytes);
     /// True when bytes of an unfinished event are held.
-    bool isInEvent() const { return !m_rest.empty(); }
-    void reset() { m_rest.clear(); }
+    bool hasPartialEvent() const { return !m_partialEvent.empty(); }
+    void reset() { m_partialEvent.clear(); }
 
 private:
-    std::string m_rest;
+    std::string m_partialEvent;
 };
 
 } // namespace swiftloft::gateway
--- a/src/gateway/protocol.h
+++ b/src/gateway/protocol.h
@@ -20,10 +20,10 @@
 namespace http = boost::beast::http;
 
 using RequestFields = http::request_header<http::fields>;
-using AnswerFields = http::response_header<http::fields>;
+using ResponseFields = http::response_header<http::fields>;
 
 /// What an entry adds to a request on its way to a backend server.
-struct UpstreamHead {
+struct UpstreamRequestHead {
     BackendServerId server;
     TimePoint deadline;
     /// Whose request it is; unset on routes that need no key.
@@ -38,12 +38,12 @@
     /// Fails with `MalformedInput` on a request that the protocol does not allow.
     std::function<Result<RequestHead>(const RequestFields& fields, TimePoint now)> decodeRequest;
     /// Makes the head for a backend server out of the client's, in place.
-    std::function<void(RequestFields& fields, const UpstreamHead& head, TimePoint now)> prepareUpstream;
-    std::function<AnswerHead(const AnswerFields& fields, TimePoint now)> decodeAnswer;
+    std::function<void(RequestFields& fields, const UpstreamRequestHead& head, TimePoint now)> prepareUpstreamRequest;
+    std::function<AnswerHead(const ResponseFields& fields, TimePoint now)> decodeResponse;
     std::function<Result<std::shared_ptr<const Configuration>>(std::string_view document)> decodeConfiguration;
     std::function<Result<BackendServer>(std::string_view id, std::string_view document)> decodeServer;
-    /// Answer to a client that asks which entries to use; it may keep it until `keepUntil`.
-    std::function<std::string(const std::vector<Endpoint>& entries, TimePoint keepUntil, TimePoint now)> encodeDirectory;
+    /// Answer to a client that asks which entries to use; it may keep it until `expiresAt`.
+    std::function<std::string(const std::vector<Endpoint>& entries, TimePoint expiresAt, TimePoint now)> encodeDirectory;
     /// Value of the header that says when a refused client may come back.
     std::function<std::string(TimePoint retryAt, TimePoint now)> encodeRetryAfter;
     /// Paths at which an entry says that it is ready and which entries there are.
--- a/src/gateway/request-call.h
+++ b/src/gateway/request-call.h
@@ -7,7 +7,7 @@
 
 /// One request inside the entry, from its arrival to its end. Private to the files of `RequestServer`.
 struct RequestServer::Call {
-    ClientStream& client;
+    DownstreamConnection& client;
     ClientRequest request;
     RequestHead head;
     TimePoint arrivedAt;
@@ -15,13 +15,13 @@
     std::shared_ptr<const Configuration> configuration;
     const Route* route { nullptr };
     std::optional<OrganisationName> organisation;
-    std::unique_ptr<CallDesk::Ticket> ticket;
+    std::unique_ptr<AsyncDispatcher::CallHandle> handle;
 
     /// A failure of a server that may be passed on.
-    std::optional<ClientAnswer> failure;
+    std::optional<ClientResponse> serverError;
 
     // Of a stream that has begun.
-    bool hasBegun { false };
+    bool hasStreamStarted { false };
     std::optional<std::uint64_t> lastEvent;
     EventSplitter splitter;
 
@@ -33,19 +33,19 @@
     /// The connection of the try in progress; null before it is open.
     UpstreamConnection* upstream { nullptr };
     /// The try in progress is to end.
-    bool isTakenBack { false };
+    bool isAttemptCancelled { false };
 
     // For the log and the metrics.
     ServiceName service;
     /// What decided a refusal.
-    std::string inputs;
+    std::string refusalDetails;
     unsigned status { 0 };
     std::string_view reason { "answered" };
     unsigned attempts { 0 };
     std::string servers;
     std::optional<TimePoint> firstByteAt;
     TimePoint lastEventAt;
-    milliseconds longestPause { 0 };
+    milliseconds longestEventGap { 0 };
     bool mustClose { false };
 };
 
--- a/src/gateway/request-exchange.cc
+++ b/src/gateway/request-exchange.cc
@@ -18,23 +18,23 @@
 
 namespace {
 
-using AnswerParser = http::response_parser<http::buffer_body>;
+using ResponseParser = http::response_parser<http::buffer_body>;
 
 /// A connection inside a region opens in a few milliseconds; a server that takes longer is cut off or its queue of new
 /// connections is full, in which case the network tries again only after a second.
 constexpr milliseconds connectTimeout { 250 };
 /// A whole answer that is kept before it is passed on.
-constexpr std::size_t mostAnswerBytes = 64U << 20;
-constexpr std::size_t mostHeaderBytes = 64U << 10;
+constexpr std::size_t maxResponseBytes = 64U << 20;
+constexpr std::size_t maxHeaderBytes = 64U << 10;
 constexpr unsigned misdirected = 421;
 /// Answers to earlier requests that are thrown away before a connection is given up.
-constexpr int mostStrayAnswers = 2;
+constexpr int maxStrayResponses = 2;
 /// A silent server of an idempotent request is given up after so many times the objective, while another can be tried.
-constexpr int silenceInObjectives = 3;
+constexpr int silenceTimeoutObjectives = 3;
 /// What is left of the deadline for the entry's own final answer.
-constexpr milliseconds answerMargin { 20 };
+constexpr milliseconds responseMargin { 20 };
 
-constexpr std::array hopByHop { http::field::connection, http::field::keep_alive, http::field::proxy_authenticate, http::field::proxy_authorization,
+constexpr std::array hopByHopFields { http::field::connection, http::field::keep_alive, http::field::proxy_authenticate, http::field::proxy_authorization,
     http::field::te, http::field::trailer, http::field::transfer_encoding, http::field::upgrade, http::field::proxy_connection };
 
 void eraseHopByHop(http::fields& fields)
@@ -44,18 +44,18 @@
         named.emplace_back(token);
     for (auto& name : named)
         fields.erase(name);
-    for (auto field : hopByHop)
+    for (auto field : hopByHopFields)
         fields.erase(field);
 }
 
-bool isFailure(unsigned status)
+bool isServerError(unsigned status)
 {
     return status >= 500;
 }
 
 } // namespace
 
-asio::awaitable<UpstreamConnectionPtr> RequestServer::connectionFor(Call& call, const BackendServer& server)
+asio::awaitable<UpstreamConnectionPtr> RequestServer::acquireConnection(Call& call, const BackendServer& server)
 {
     // Failure: the server closes an idle connection just as a request is written to it; whether it ran is not known.
     // What must not run twice therefore gets a connection of its own.
@@ -63,27 +63,27 @@
         if (auto idle = m_pool.takeIdle(server))
             co_return idle;
     }
-    co_return co_await m_pool.connect(server, std::min(call.deadline - answerMargin, Clock::now() + connectTimeout));
+    co_return co_await m_pool.connect(server, std::min(call.deadline - responseMargin, Clock::now() + connectTimeout));
 }
 
 asio::awaitable<AttemptEnd> RequestServer::exchange(Call& call, const BackendServer& server)
 {
     UpstreamConnectionPtr connection;
     try {
-        connection = co_await connectionFor(call, server);
+        connection = co_await acquireConnection(call, server);
     } catch (const boost::system::system_error&) {
         co_return AttemptEnd::NotSent;
     }
     auto request = call.request;
     eraseHopByHop(request.base());
     auto now = Clock::now();
-    m_protocol.prepareUpstream(request.base(), { server.id, call.deadline, call.organisation, call.lastEvent }, now);
+    m_protocol.prepareUpstreamRequest(request.base(), { server.id, call.deadline, call.organisation, call.lastEvent }, now);
     if (!request.body().empty() || request.find(http::field::content_length) != request.end())
         request.content_length(request.body().size());
     request.version(11);
     request.keep_alive(true);
     auto& stream = connection->stream;
-    stream.expires_at(call.deadline - answerMargin);
+    stream.expires_at(call.deadline - responseMargin);
     boost::system::error_code ec;
     connection->isInUse = true;
     call.upstream = connection.get();
@@ -91,36 +91,36 @@
     co_await http::async_write(stream, request, redirect_error(use_awaitable, ec));
     if (ec)
         co_return ec == beast::error::timeout ? AttemptEnd::TimedOut : AttemptEnd::Lost;
-    bool mayGoElsewhere = call.route->isIdempotent && !call.route->isStream && call.route->maximumServers > 1 && call.route->objective > milliseconds(0);
-    if (mayGoElsewhere && call.attempts < call.route->maximumServers)
-        stream.expires_at(std::min(call.deadline - answerMargin, now + silenceInObjectives * call.route->objective));
-    co_return co_await readAnswer(call, std::move(connection));
+    bool mayRetryElsewhere = call.route->isIdempotent && !call.route->isStream && call.route->maximumServers > 1 && call.route->objective > milliseconds(0);
+    if (mayRetryElsewhere && call.attempts < call.route->maximumServers)
+        stream.expires_at(std::min(call.deadline - responseMargin, now + silenceTimeoutObjectives * call.route->objective));
+    co_return co_await readResponse(call, std::move(connection));
 }
 
-asio::awaitable<AttemptEnd> RequestServer::readAnswer(Call& call, UpstreamConnectionPtr connection)
+asio::awaitable<AttemptEnd> RequestServer::readResponse(Call& call, UpstreamConnectionPtr connection)
 {
-    for (int n = 0; n <= mostStrayAnswers; ++n) {
+    for (int n = 0; n <= maxStrayResponses; ++n) {
         auto& stream = connection->stream;
-        AnswerParser parser;
-        parser.header_limit(mostHeaderBytes);
+        ResponseParser parser;
+        parser.header_limit(maxHeaderBytes);
         parser.body_limit(boost::none);
         if (call.request.method() == http::verb::head)
             parser.skip(true);
         boost::system::error_code ec;
         co_await http::async_read_header(stream, connection->buffer, parser, redirect_error(use_awaitable, ec));
         if (ec == beast::error::timeout)
-            co_return Clock::now() + answerMargin >= call.deadline ? AttemptEnd::TimedOut : AttemptEnd::Lost;
+            co_return Clock::now() + responseMargin >= call.deadline ? AttemptEnd::TimedOut : AttemptEnd::Lost;
         if (ec)
             co_return AttemptEnd::Lost;
         if (parser.get().result_int() == 100)
             continue;
-        auto head = m_protocol.decodeAnswer(parser.get().base(), Clock::now());
+        auto head = m_protocol.decodeResponse(parser.get().base(), Clock::now());
         // What is misdirected is answered by another server.
-        bool isOfServer = head.status != misdirected;
+        bool isFromServer = head.status != misdirected;
         // True of the server whichever request it answers.
-        if (isOfServer) {
-            noteRest(call, connection->server, head);
-            noteLeaving(call, connection->server, head);
+        if (isFromServer) {
+            recordBackOff(call, connection->server, head);
+            recordLeaving(call, connection->server, head);
         }
         // Failure: a server sends the answer to an earlier request late, where the next one is expected. Passed on, it
         // would be the answer to somebody else's request.
@@ -138,48 +138,48 @@
             }
             continue;
         }
-        if (isOfServer)
-            noteLimit(call, connection->server, head);
+        if (isFromServer)
+            recordLimit(call, connection->server, head);
         if (head.isNotRun)
             co_return head.status == misdirected ? AttemptEnd::Misdirected : AttemptEnd::NotRun;
         bool isStream = call.route->isStream && head.status == 200;
         if (isStream)
-            co_return co_await relay(call, std::move(connection), parser);
-        co_return co_await takeWhole(call, std::move(connection), parser);
+            co_return co_await forwardStream(call, std::move(connection), parser);
+        co_return co_await forwardWhole(call, std::move(connection), parser);
     }
     co_return AttemptEnd::Lost;
 }
 
-void RequestServer::noteLimit(const Call& call, const ServerLife& server, const AnswerHead& head)
+void RequestServer::recordLimit(const Call& call, const ServerLife& server, const AnswerHead& head)
 {
     if (head.limit)
         m_metrics.count("swiftloft_entry_limits_heard_total", { { "service", call.service.value() } });
-    if (head.limit || m_desk.dispatcher().loads().limitOf(server))
-        m_desk.apply(dispatch::LimitHeard { server, call.sentAt, head.limit });
+    if (head.limit || m_dispatcher.reducer().loads().limitOf(server))
+        m_dispatcher.apply(dispatch::LimitHeard { server, call.sentAt, head.limit });
 }
 
-void RequestServer::noteRest(const Call& call, const ServerLife& server, const AnswerHead& head)
+void RequestServer::recordBackOff(const Call& call, const ServerLife& server, const AnswerHead& head)
 {
     if (!head.rest)
         return;
-    bool isKnown = m_desk.dispatcher().loads().restOf(server, Clock::now()).has_value();
+    bool isKnown = m_dispatcher.reducer().loads().restOf(server, Clock::now()).has_value();
     m_metrics.count("swiftloft_entry_rests_heard_total", { { "service", call.service.value() }, { "known", isKnown ? "yes" : "no" } });
-    m_desk.apply(dispatch::RestAsked { server, *head.rest });
+    m_dispatcher.apply(dispatch::RestAsked { server, *head.rest });
 }
 
-void RequestServer::noteLeaving(const Call& call, const ServerLife& server, const AnswerHead& head)
+void RequestServer::recordLeaving(const Call& call, const ServerLife& server, const AnswerHead& head)
 {
     if (!head.isLeaving)
         return;
     m_metrics.count("swiftloft_entry_leaving_heard_total", { { "service", call.service.value() } });
-    m_desk.apply(dispatch::LeavingSaid { server });
+    m_dispatcher.apply(dispatch::LeavingSaid { server });
 }
 
-asio::awaitable<AttemptEnd> RequestServer::takeWhole(Call& call, UpstreamConnectionPtr connection, AnswerParser& parser)
+asio::awaitable<AttemptEnd> RequestServer::forwardWhole(Call& call, UpstreamConnectionPtr connection, ResponseParser& parser)
 {
     std::string body;
     std::array<char, 16384> bytes;
-    auto signedHead = m_protocol.decodeAnswer(parser.get().base(), Clock::now());
+    auto signedHead = m_protocol.decodeResponse(parser.get().base(), Clock::now());
     while (!parser.is_done()) {
         auto& buffer = parser.get().body();
         buffer.data = bytes.data();
@@ -191,48 +191,48 @@
         if (ec == http::error::need_buffer)
             ec = {};
         if (ec == beast::error::timeout)
-            co_return Clock::now() + answerMargin >= call.deadline ? AttemptEnd::TimedOut : AttemptEnd::Lost;
+            co_return Clock::now() + responseMargin >= call.deadline ? AttemptEnd::TimedOut : AttemptEnd::Lost;
         // An answer without a length is whole only when its connection ends in order.
-        if (ec || body.size() > mostAnswerBytes)
+        if (ec || body.size() > maxResponseBytes)
             co_return AttemptEnd::Lost;
     }
-    ClientAnswer answer(http::response_header<>(parser.get().base()));
+    ClientResponse response(http::response_header<>(parser.get().base()));
     call.upstream = nullptr;
-    recycle(std::move(connection), parser);
-    eraseHopByHop(answer.base());
-    answer.version(call.request.version());
-    answer.body() = std::move(body);
+    releaseConnection(std::move(connection), parser);
+    eraseHopByHop(response.base());
+    response.version(call.request.version());
+    response.body() = std::move(body);
     if (call.request.method() != http::verb::head)
-        answer.content_length(answer.body().size());
+        response.content_length(response.body().size());
     // What claims success without the server's signature is not the server's answer.
     if (signedHead.status < 300 && !signedHead.isSigned)
         co_return AttemptEnd::Lost;
     call.firstByteAt = Clock::now();
-    if (isFailure(signedHead.status) || call.hasBegun) {
-        call.failure = std::move(answer);
+    if (isServerError(signedHead.status) || call.hasStreamStarted) {
+        call.serverError = std::move(response);
         co_return AttemptEnd::ServerError;
     }
     call.status = signedHead.status;
-    co_await call.client.write(answer);
+    co_await call.client.writeResponse(response);
     co_return AttemptEnd::Answered;
 }
 
-asio::awaitable<AttemptEnd> RequestServer::relay(Call& call, UpstreamConnectionPtr connection, AnswerParser& parser)
+asio::awaitable<AttemptEnd> RequestServer::forwardStream(Call& call, UpstreamConnectionPtr connection, ResponseParser& parser)
 {
     std::array<char, 16384> bytes;
-    if (!m_protocol.decodeAnswer(parser.get().base(), Clock::now()).isSigned)
+    if (!m_protocol.decodeResponse(parser.get().base(), Clock::now()).isSigned)
         co_return AttemptEnd::Lost;
-    if (!call.hasBegun) {
-        AnswerFields head(parser.get().base());
+    if (!call.hasStreamStarted) {
+        ResponseFields head(parser.get().base());
         eraseHopByHop(head);
         head.erase(http::field::content_length);
         head.version(11);
         call.status = 200;
-        call.hasBegun = true;
+        call.hasStreamStarted = true;
         co_await call.client.writeHead(std::move(head));
     }
     while (!parser.is_done()) {
-        if (call.isTakenBack)
+        if (call.isAttemptCancelled)
             co_return AttemptEnd::Lost;
         auto& buffer = parser.get().body();
         buffer.data = bytes.data();
@@ -241,7 +241,7 @@
         boost::system::error_code ec;
         co_await http::async_read_some(connection->stream, connection->buffer, parser, redirect_error(use_awaitable, ec));
         auto size = bytes.size() - parser.get().body().size;
-        if (size > 0 && !co_await passEvents(call, std::string_view(bytes.data(), size)))
+        if (size > 0 && !co_await forwardEvents(call, std::string_view(bytes.data(), size)))
             co_return AttemptEnd::Lost;
         if (ec == http::error::need_buffer)
             ec = {};
@@ -250,19 +250,19 @@
         if (ec)
             co_return AttemptEnd::Lost;
     }
-    if (call.splitter.isInEvent())
+    if (call.splitter.hasPartialEvent())
         co_return AttemptEnd::Lost;
     call.upstream = nullptr;
-    recycle(std::move(connection), parser);
-    co_await call.client.writeEnd();
+    releaseConnection(std::move(connection), parser);
+    co_await call.client.writeLastChunk();
     co_return AttemptEnd::Answered;
 }
 
 /// Passes on the events that `bytes` complete. False when the events don't follow on those the client has.
-asio::awaitable<bool> RequestServer::passEvents(Call& call, std::string_view bytes)
+asio::awaitable<bool> RequestServer::forwardEvents(Call& call, std::string_view bytes)
 {
     std::string out;
-    for (auto& event : call.splitter.take(bytes)) {
+    for (auto& event : call.splitter.append(bytes)) {
         if (event.id && call.lastEvent) {
             // A server that starts over sends again what the client has.
             if (*event.id <= *call.lastEvent)
@@ -279,24 +279,24 @@
     auto now = Clock::now();
     if (!call.firstByteAt) {
         call.firstByteAt = now;
-        call.ticket->answerBegan();
+        call.handle->reportResponseStarted();
     } else {
-        call.ticket->progressed();
-        call.longestPause = std::max(call.longestPause, std::chrono::duration_cast<milliseconds>(now - call.lastEventAt));
+        call.handle->reportProgress();
+        call.longestEventGap = std::max(call.longestEventGap, std::chrono::duration_cast<milliseconds>(now - call.lastEventAt));
     }
     call.lastEventAt = now;
     co_await call.client.writeChunk(std::move(out));
     co_return true;
 }
 
-void RequestServer::recycle(UpstreamConnectionPtr connection, const AnswerParser& parser)
+void RequestServer::releaseConnection(UpstreamConnectionPtr connection, const ResponseParser& parser)
 {
     // Failure: bytes behind a whole answer belong to no request; the next one on this connection would get them.
     bool isClean = parser.is_done() && parser.keep_alive() && !parser.need_eof() && connection->buffer.size() == 0;
     connection->isInUse = !parser.is_done();
     if (!isClean)
         return;
-    m_pool.putBack(std::move(connection), Clock::now() + UpstreamPool::idleFor);
+    m_pool.release(std::move(connection), Clock::now() + UpstreamPool::idleTimeout);
 }
 
 } // namespace swiftloft::gateway
--- a/src/gateway/request-server.cc
+++ b/src/gateway/request-server.cc
@@ -18,21 +18,21 @@
 namespace {
 
 /// How long a client is taken to wait that did not say.
-constexpr milliseconds defaultPatience { 5000 };
+constexpr milliseconds defaultClientTimeout { 5000 };
 
 constexpr std::string_view answeredReason = "answered";
 
 /// How long nothing had come of the last server that the request was sent to; -1 before it was sent.
-milliseconds silentFor(TimePoint sentAt, TimePoint lastEventAt, TimePoint now)
+milliseconds silenceDuration(TimePoint sentAt, TimePoint lastEventAt, TimePoint now)
 {
-    auto heardAt = std::max(sentAt, lastEventAt);
-    return heardAt == TimePoint {} ? milliseconds(-1) : std::chrono::duration_cast<milliseconds>(now - heardAt);
+    auto lastReceivedAt = std::max(sentAt, lastEventAt);
+    return lastReceivedAt == TimePoint {} ? milliseconds(-1) : std::chrono::duration_cast<milliseconds>(now - lastReceivedAt);
 }
 
 } // namespace
 
-RequestServer::RequestServer(CallDesk& desk, UpstreamPool& pool, const Protocol& protocol, process::SharedMetrics& metrics, SnapshotSource snapshot)
-    : m_desk(desk)
+RequestServer::RequestServer(AsyncDispatcher& dispatcher, UpstreamPool& pool, const Protocol& protocol, process::SharedMetrics& metrics, SnapshotSource snapshot)
+    : m_dispatcher(dispatcher)
     , m_pool(pool)
     , m_protocol(protocol)
     , m_metrics(metrics)
@@ -40,50 +40,50 @@
 {
 }
 
-asio::awaitable<void> RequestServer::answer(Call& call, http::status status, std::string_view reason, std::optional<TimePoint> retryAt)
+asio::awaitable<void> RequestServer::respond(Call& call, http::status status, std::string_view reason, std::optional<TimePoint> retryAt)
 {
-    ClientAnswer answer(status, call.request.version() ? call.request.version() : 11);
-    answer.set(http::field::content_type, "text/plain");
+    ClientResponse response(status, call.request.version() ? call.request.version() : 11);
+    response.set(http::field::content_type, "text/plain");
     if (retryAt)
-        answer.set(http::field::retry_after, m_protocol.encodeRetryAfter(*retryAt, Clock::now()));
-    answer.body() = fmt::format("{}\n", reason);
-    answer.prepare_payload();
+        response.set(http::field::retry_after, m_protocol.encodeRetryAfter(*retryAt, Clock::now()));
+    response.body() = fmt::format("{}\n", reason);
+    response.prepare_payload();
     call.status = static_cast<unsigned>(status);
     call.reason = reason;
-    co_await call.client.write(answer);
+    co_await call.client.writeResponse(response);
 }
 
-asio::awaitable<void> RequestServer::refuseUnread(ClientStream& client, ReadProblem problem)
+asio::awaitable<void> RequestServer::rejectUnreadable(DownstreamConnection& client, ReadError error)
 {
-    auto status = problem == ReadProblem::HeaderTooLarge ? http::status::request_header_fields_too_large
-        : problem == ReadProblem::BodyTooLarge           ? http::status::payload_too_large
-        : problem == ReadProblem::TooSlow                ? http::status::request_timeout
-                                                         : http::status::bad_request;
-    client.setWantsClose();
-    ClientAnswer answer(status, 11);
-    answer.prepare_payload();
+    auto status = error == ReadError::HeaderTooLarge ? http::status::request_header_fields_too_large
+        : error == ReadError::BodyTooLarge           ? http::status::payload_too_large
+        : error == ReadError::TooSlow                ? http::status::request_timeout
+                                                     : http::status::bad_request;
+    client.setMustClose();
+    ClientResponse response(status, 11);
+    response.prepare_payload();
     log::write(log::Event::RequestRefused, "status={} reason=unreadable", static_cast<unsigned>(status));
-    co_await client.write(answer);
+    co_await client.writeResponse(response);
 }
 
-asio::awaitable<bool> RequestServer::serve(ClientStream& client, ClientRequest request)
+asio::awaitable<bool> RequestServer::serve(DownstreamConnection& client, ClientRequest request)
 {
     using namespace asio::experimental::awaitable_operators;
     Call call { client, std::move(request), {}, Clock::now(), {}, nullptr, nullptr, std::nullopt, nullptr, std::nullopt };
     auto head = m_protocol.decodeRequest(call.request.base(), call.arrivedAt);
     if (!head) {
-        co_await answer(call, http::status::bad_request, "malformed-request");
-        logEnd(call);
+        co_await respond(call, http::status::bad_request, "malformed-request");
+        logOutcome(call);
         co_return true;
     }
     call.head = *head;
-    auto ended = co_await (run(call) || client.waitForClose());
-    if (ended.index() == 1) {
+    auto winner = co_await (run(call) || client.waitForClose());
+    if (winner.index() == 1) {
         call.reason = "client-left";
-        logEnd(call);
+        logOutcome(call);
         co_return false;
     }
-    logEnd(call);
+    logOutcome(call);
     co_return !call.mustClose;
 }
 
@@ -92,21 +92,21 @@
     auto snapshot = m_snapshot();
     auto& configuration = snapshot->configuration;
     if (!configuration || (!snapshot->isReady && !snapshot->isLeaving)) {
-        auto deadline = call.head.clientDeadline.value_or(call.arrivedAt + defaultPatience);
-        co_await answer(call, http::status::service_unavailable, "not-ready", comeBackWhenServing(call.arrivedAt, deadline, m_generator));
+        auto deadline = call.head.clientDeadline.value_or(call.arrivedAt + defaultClientTimeout);
+        co_await respond(call, http::status::service_unavailable, "not-ready", comeBackWhenServing(call.arrivedAt, deadline, m_generator));
         co_return;
     }
     call.configuration = configuration;
     call.route = configuration->findRoute(call.head.host, call.head.path);
     if (!call.route) {
-        co_await answer(call, http::status::not_found, "no-such-route");
+        co_await respond(call, http::status::not_found, "no-such-route");
         co_return;
     }
     unsigned priority = call.route->priority;
     if (configuration->hasOrganisations() && !call.route->isPublic) {
         auto* organisation = configuration->findOrganisation(call.head.key);
         if (!organisation) {
-            co_await answer(call, http::status::unauthorized, "unknown-key");
+            co_await respond(call, http::status::unauthorized, "unknown-key");
             co_return;
         }
         call.organisation = organisation->name;
@@ -116,10 +116,10 @@
     if (call.head.clientDeadline)
         call.deadline = std::min(call.deadline, *call.head.clientDeadline);
     call.lastEvent = call.head.lastEvent;
-    call.ticket = std::make_unique<CallDesk::Ticket>(m_desk, m_desk.nextId());
-    call.ticket->setOnTakeBack([&call] { takeBack(call); });
+    call.handle = std::make_unique<AsyncDispatcher::CallHandle>(m_dispatcher, m_dispatcher.nextId());
+    call.handle->setOnCancelAttempt([&call] { cancelAttempt(call); });
     CallRequest request { configuration, call.route, priority, call.arrivedAt, call.deadline, call.head.promptTokens, call.head.outputTokens };
-    auto decision = co_await call.ticket->arrive(std::move(request));
+    auto decision = co_await call.handle->submit(std::move(request));
     while (auto* start = std::get_if<dispatch::StartAttempt>(&decision)) {
         auto next = *start;
         decision = co_await attempt(call, std::move(next));
@@ -127,14 +127,14 @@
             co_return;
     }
     if (auto* refusal = std::get_if<dispatch::Refuse>(&decision))
-        co_await finish(call, *refusal);
+        co_await refuse(call, *refusal);
     else
-        co_await passOn(call);
+        co_await forwardServerError(call);
 }
 
-void RequestServer::takeBack(Call& call)
+void RequestServer::cancelAttempt(Call& call)
 {
-    call.isTakenBack = true;
+    call.isAttemptCancelled = true;
     if (call.upstream)
         call.upstream->stream.cancel();
 }
@@ -151,64 +151,64 @@
             call.lastEvent.value_or(0));
     call.servers += fmt::format("{}{}", call.servers.empty() ? "" : ",", server.id.value());
     call.splitter.reset();
-    call.isTakenBack = false;
-    auto end = co_await exchange(call, server);
+    call.isAttemptCancelled = false;
+    auto outcome = co_await exchange(call, server);
     call.upstream = nullptr;
-    if (call.isTakenBack && end == AttemptEnd::Lost)
-        end = AttemptEnd::Stalled;
-    if (end == AttemptEnd::Answered) {
+    if (call.isAttemptCancelled && outcome == AttemptEnd::Lost)
+        outcome = AttemptEnd::Stalled;
+    if (outcome == AttemptEnd::Answered) {
         call.isComplete = true;
-        call.ticket->answered();
-        co_return CallDecision(dispatch::PassOn { call.ticket->id() });
+        call.handle->reportCompleted();
+        co_return CallDecision(dispatch::PassOn { call.handle->id() });
     }
-    log::write(log::Event::AttemptFailed, "id={} server={} end={} after-ms={}", call.head.id, server.id.value(), toString(end),
+    log::write(log::Event::AttemptFailed, "id={} server={} end={} after-ms={}", call.head.id, server.id.value(), toString(outcome),
         std::chrono::duration_cast<milliseconds>(Clock::now() - call.arrivedAt).count());
-    co_return co_await call.ticket->attemptEnded(end);
+    co_return co_await call.handle->reportAttemptEnd(outcome);
 }
 
-asio::awaitable<void> RequestServer::finish(Call& call, const dispatch::Refuse& refusal)
+asio::awaitable<void> RequestServer::refuse(Call& call, const dispatch::Refuse& refusal)
 {
     call.reason = toString(refusal.reason);
     call.service = refusal.service;
-    call.inputs = fmt::format(" verdict={} occupancy={:.2f} waiting={}", toString(refusal.verdict), refusal.occupancy, refusal.waiting);
-    if (call.hasBegun) {
+    call.refusalDetails = fmt::format(" verdict={} occupancy={:.2f} waiting={}", toString(refusal.verdict), refusal.occupancy, refusal.waiting);
+    if (call.hasStreamStarted) {
         // What has gone out can't be taken back: the answer ends without its end mark, so that it looks cut.
         call.mustClose = true;
         call.client.reset();
         co_return;
     }
     if (refusal.verdict == Verdict::NotRun) {
-        co_await answer(call, http::status::service_unavailable, call.reason, refusal.retryAt);
+        co_await respond(call, http::status::service_unavailable, call.reason, refusal.retryAt);
         co_return;
     }
     auto status = refusal.reason == RefusalReason::TimedOut ? http::status::gateway_timeout : http::status::bad_gateway;
-    co_await answer(call, status, call.reason);
+    co_await respond(call, status, call.reason);
 }
 
-asio::awaitable<void> RequestServer::passOn(Call& call)
+asio::awaitable<void> RequestServer::forwardServerError(Call& call)
 {
-    if (call.hasBegun || !call.failure) {
+    if (call.hasStreamStarted || !call.serverError) {
         call.mustClose = true;
         call.client.reset();
         co_return;
     }
-    call.status = call.failure->result_int();
+    call.status = call.serverError->result_int();
     call.reason = "server-error";
-    co_await call.client.write(*call.failure);
+    co_await call.client.writeResponse(*call.serverError);
 }
 
-void RequestServer::logEnd(const Call& call) const
+void RequestServer::logOutcome(const Call& call) const
 {
     auto now = Clock::now();
     auto sinceArrival = [&](TimePoint time) { return std::chrono::duration_cast<milliseconds>(time - call.arrivedAt).count(); };
     bool isServed = call.isComplete && call.reason == answeredReason;
     log::write(isServed ? log::Event::RequestServed : log::Event::RequestFailed, "id={} route={} organisation={} status={} reason={} attempts={} service={} servers={} configuration={} first-ms={} pause-ms={} silent-ms={} ms={}{}", call.head.id,
         call.route ? call.route->name : "-", call.organisation ? call.organisation->value() : "-", call.status, call.reason, call.attempts, call.service.value(), call.servers,
-        call.configuration ? call.configuration->version().value() : 0, call.firstByteAt ? sinceArrival(*call.firstByteAt) : -1, call.longestPause.count(), silentFor(call.sentAt, call.lastEventAt, now).count(), sinceArrival(now), call.inputs);
-    count(call, isServed, now);
+        call.configuration ? call.configuration->version().value() : 0, call.firstByteAt ? sinceArrival(*call.firstByteAt) : -1, call.longestEventGap.count(), silenceDuration(call.sentAt, call.lastEventAt, now).count(), sinceArrival(now), call.refusalDetails);
+    recordMetrics(call, isServed, now);
 }
 
-void RequestServer::count(const Call& call, bool isServed, TimePoint now) const
+void RequestServer::recordMetrics(const Call& call, bool isServed, TimePoint now) const
 {
     auto seconds = [&](TimePoint time) { return std::chrono::duration<double>(time - call.arrivedAt).count(); };
     process::Labels service { { "service", call.service.value() } };
--- a/src/gateway/request-server.h
+++ b/src/gateway/request-server.h
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "src/gateway/call-desk.h"
-#include "src/gateway/client-stream.h"
+#include "src/gateway/async-dispatcher.h"
+#include "src/gateway/downstream-connection.h"
 #include "src/gateway/event-splitter.h"
 #include "src/gateway/protocol.h"
-#include "src/gateway/upstream.h"
+#include "src/gateway/upstream-pool.h"
 #include "src/process/metrics.h"
 
 #include <boost/beast/http/buffer_body.hpp>
@@ -22,36 +22,36 @@
 public:
     using SnapshotSource = std::function<std::shared_ptr<const Snapshot>()>;
 
-    RequestServer(CallDesk& desk, UpstreamPool& pool, const Protocol& protocol, process::SharedMetrics& metrics, SnapshotSource snapshot);
+    RequestServer(AsyncDispatcher& dispatcher, UpstreamPool& pool, const Protocol& protocol, process::SharedMetrics& metrics, SnapshotSource snapshot);
 
     /// Answers `request`. Throws when the client's connection breaks; the connection must be closed when this returns false.
-    boost::asio::awaitable<bool> serve(ClientStream& client, ClientRequest request);
+    boost::asio::awaitable<bool> serve(DownstreamConnection& client, ClientRequest request);
     /// Answers a request that could not be read.
-    boost::asio::awaitable<void> refuseUnread(ClientStream& client, ReadProblem problem);
+    boost::asio::awaitable<void> rejectUnreadable(DownstreamConnection& client, ReadError error);
 
 private:
     struct Call;
 
-    boost::asio::awaitable<void> answer(Call& call, http::status status, std::string_view reason, std::optional<TimePoint> retryAt = std::nullopt);
+    boost::asio::awaitable<void> respond(Call& call, http::status status, std::string_view reason, std::optional<TimePoint> retryAt = std::nullopt);
     boost::asio::awaitable<void> run(Call& call);
-    static void takeBack(Call& call);
+    static void cancelAttempt(Call& call);
     boost::asio::awaitable<CallDecision> attempt(Call& call, dispatch::StartAttempt start);
     boost::asio::awaitable<AttemptEnd> exchange(Call& call, const BackendServer& server);
-    boost::asio::awaitable<UpstreamConnectionPtr> connectionFor(Call& call, const BackendServer& server);
-    boost::asio::awaitable<AttemptEnd> readAnswer(Call& call, UpstreamConnectionPtr connection);
-    void noteLimit(const Call& call, const ServerLife& server, const AnswerHead& head);
-    void noteRest(const Call& call, const ServerLife& server, const AnswerHead& head);
-    void noteLeaving(const Call& call, const ServerLife& server, const AnswerHead& head);
-    boost::asio::awaitable<AttemptEnd> takeWhole(Call& call, UpstreamConnectionPtr connection, http::response_parser<http::buffer_body>& parser);
-    boost::asio::awaitable<AttemptEnd> relay(Call& call, UpstreamConnectionPtr connection, http::response_parser<http::buffer_body>& parser);
-    boost::asio::awaitable<bool> passEvents(Call& call, std::string_view bytes);
-    void recycle(UpstreamConnectionPtr connection, const http::response_parser<http::buffer_body>& parser);
-    boost::asio::awaitable<void> finish(Call& call, const dispatch::Refuse& refusal);
-    boost::asio::awaitable<void> passOn(Call& call);
-    void logEnd(const Call& call) const;
-    void count(const Call& call, bool isServed, TimePoint now) const;
-
-    CallDesk& m_desk;
+    boost::asio::awaitable<UpstreamConnectionPtr> acquireConnection(Call& call, const BackendServer& server);
+    boost::asio::awaitable<AttemptEnd> readResponse(Call& call, UpstreamConnectionPtr connection);
+    void recordLimit(const Call& call, const ServerLife& server, const AnswerHead& head);
+    void recordBackOff(const Call& call, const ServerLife& server, const AnswerHead& head);
+    void recordLeaving(const Call& call, const ServerLife& server, const AnswerHead& head);
+    boost::asio::awaitable<AttemptEnd> forwardWhole(Call& call, UpstreamConnectionPtr connection, http::response_parser<http::buffer_body>& parser);
+    boost::asio::awaitable<AttemptEnd> forwardStream(Call& call, UpstreamConnectionPtr connection, http::response_parser<http::buffer_body>& parser);
+    boost::asio::awaitable<bool> forwardEvents(Call& call, std::string_view bytes);
+    void releaseConnection(UpstreamConnectionPtr connection, const http::response_parser<http::buffer_body>& parser);
+    boost::asio::awaitable<void> refuse(Call& call, const dispatch::Refuse& refusal);
+    boost::asio::awaitable<void> forwardServerError(Call& call);
+    void logOutcome(const Call& call) const;
+    void recordMetrics(const Call& call, bool isServed, TimePoint now) const;
+
+    AsyncDispatcher& m_dispatcher;
     UpstreamPool& m_pool;
     const Protocol& m_protocol;
     process::SharedMetrics& m_metrics;
--- a/src/gateway/traffic.cc
+++ b/src/gateway/traffic-server.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/traffic.h"
+#include "src/gateway/traffic-server.h"
 
 #include "src/gateway/news-metrics.h"
 #include "src/log/logger.h"
@@ -21,18 +21,18 @@
 namespace {
 
 /// News of load is sent at most this often: every request would otherwise cause a datagram to each entry.
-constexpr milliseconds tellAtMostEvery { 20 };
+constexpr milliseconds minLoadUpdateInterval { 20 };
 /// And so much less often for each entry told, which bounds what telling costs in a large data centre: 500 datagrams a second.
-constexpr milliseconds tellPauseForEach { 2 };
+constexpr milliseconds loadUpdateIntervalPerEntry { 2 };
 /// What is known of limits is repeated this often while there is work, as datagrams get lost.
-constexpr milliseconds limitsToldEvery { 400 };
+constexpr milliseconds limitRepeatInterval { 400 };
 /// After SIGTERM an entry goes on accepting for this long, as clients keep their lists of entries for a while.
-constexpr milliseconds acceptAfterStop { 3000 };
+constexpr milliseconds acceptGracePeriod { 3000 };
 /// Pause after a failed accept, such as for want of descriptors.
-constexpr milliseconds acceptPause { 10 };
+constexpr milliseconds acceptRetryDelay { 10 };
 constexpr milliseconds pageTimeout { 3000 };
 /// Entries in one answer to a client.
-constexpr std::size_t mostEntriesTold = 64;
+constexpr std::size_t maxDirectoryEntries = 64;
 
 policy::Generator seeded()
 {
@@ -41,70 +41,70 @@
 
 } // namespace
 
-Traffic::Traffic(const EntrySettings& settings, const Protocol& protocol, process::SharedMetrics& metrics, Incarnation incarnation)
+TrafficServer::TrafficServer(const EntrySettings& settings, const Protocol& protocol, process::SharedMetrics& metrics, Incarnation incarnation)
     : m_settings(settings)
     , m_protocol(protocol)
     , m_incarnation(incarnation)
-    , m_desk(m_ioContext, DispatcherOptions { settings.retries }, seeded())
+    , m_dispatcher(m_ioContext, DispatcherOptions { settings.retries }, seeded())
     , m_pool(m_ioContext)
-    , m_server(m_desk, m_pool, protocol, metrics, [this] { return m_snapshot; })
+    , m_server(m_dispatcher, m_pool, protocol, metrics, [this] { return m_snapshot; })
     , m_snapshot(std::make_shared<Snapshot>())
     , m_clients(m_ioContext)
     , m_ready(m_ioContext)
     , m_directory(m_ioContext)
-    , m_tellTimer(m_ioContext)
+    , m_loadUpdateTimer(m_ioContext)
     , m_stopTimer(m_ioContext)
 {
-    auto onNews = [this](const NewsSocket::UdpEndpoint&, NewsMessage message) {
+    auto onMessage = [this](const NewsSocket::UdpEndpoint&, NewsMessage message) {
         if (auto* load = std::get_if<LoadNews>(&message))
-            m_desk.apply(dispatch::LoadArrived { std::move(*load) });
+            m_dispatcher.apply(dispatch::LoadArrived { std::move(*load) });
     };
-    m_news = NewsSocket::create(m_ioContext, settings.load, onNews).value();
-    m_news->setOnMoved(countInto(metrics, "swiftloft_entry"));
-    m_desk.setOnLoadChanged([this] { tellLoadsBy(std::max(Clock::now(), m_tellNotBefore)); });
-    auto page = [this](asio::ip::tcp::socket socket) { return servePage(std::move(socket)); };
+    m_loadSocket = NewsSocket::create(m_ioContext, settings.load, onMessage).value();
+    m_loadSocket->setOnMoved(countInto(metrics, "swiftloft_entry"));
+    m_dispatcher.setOnLoadChanged([this] { scheduleLoadUpdate(std::max(Clock::now(), m_loadUpdateNotBefore)); });
+    auto page = [this](asio::ip::tcp::socket socket) { return serveStatusPage(std::move(socket)); };
     listen(m_ready, settings.ready, page);
     listen(m_directory, settings.directory, page);
     listen(m_clients, settings.clients, [this](asio::ip::tcp::socket socket) { return serveClient(std::move(socket)); });
 }
 
-Traffic::~Traffic()
+TrafficServer::~TrafficServer()
 {
     for (auto* acceptor : { &m_clients, &m_ready, &m_directory }) {
         boost::system::error_code ec;
         acceptor->close(ec);
     }
-    m_news->stop();
-    m_pool.closeAll();
-    m_desk.setOnLoadChanged(nullptr);
-    for (auto* client : std::set<ClientStream*>(m_clientStreams))
+    m_loadSocket->stop();
+    m_pool.closeIdle();
+    m_dispatcher.setOnLoadChanged(nullptr);
+    for (auto* client : std::set<DownstreamConnection*>(m_clientConnections))
         client->reset();
     m_ioContext.restart();
     m_ioContext.poll();
     // Failure: a call that nothing wakes, such as one whose client has sent more and whose server is silent, is still
     // suspended here. Destroyed with the context, after the tables that it signs off from, it walks freed memory: the
     // process never ends, or dies of signal 11.
-    m_desk.close();
+    m_dispatcher.close();
     m_ioContext.shutdown();
 }
 
-void Traffic::run()
+void TrafficServer::run()
 {
     m_ioContext.run();
 }
 
-void Traffic::setSnapshot(std::shared_ptr<const Snapshot> snapshot)
+void TrafficServer::setSnapshot(std::shared_ptr<const Snapshot> snapshot)
 {
     asio::post(m_ioContext, [this, snapshot = std::move(snapshot)] {
         m_snapshot = snapshot;
-        m_pool.keepOnly(*snapshot);
-        m_desk.apply(dispatch::SnapshotChanged { snapshot });
+        m_pool.applySnapshot(*snapshot);
+        m_dispatcher.apply(dispatch::SnapshotChanged { snapshot });
         if (m_onLoadsMeasured)
-            m_onLoadsMeasured(m_desk.dispatcher().loads().loadsNearby(Clock::now()));
+            m_onLoadsMeasured(m_dispatcher.reducer().loads().loadsNearby(Clock::now()));
     });
 }
 
-void Traffic::listen(Acceptor& acceptor, const Endpoint& endpoint, Serve serve)
+void TrafficServer::listen(Acceptor& acceptor, const Endpoint& endpoint, ConnectionHandler serve)
 {
     acceptor.open(endpoint.protocol());
     acceptor.set_option(asio::socket_base::reuse_address(true));
@@ -113,7 +113,7 @@
     co_spawn(m_ioContext, accept(acceptor, std::move(serve)), asio::detached);
 }
 
-asio::awaitable<void> Traffic::accept(Acceptor& acceptor, Serve serve)
+asio::awaitable<void> TrafficServer::accept(Acceptor& acceptor, ConnectionHandler serve)
 {
     while (acceptor.is_open()) {
         boost::system::error_code ec;
@@ -126,91 +126,91 @@
         if (ec == asio::error::operation_aborted)
             co_return;
         log::write(log::Event::AcceptFailed, "problem=\"{}\"", ec.message());
-        asio::steady_timer pause(m_ioContext, Clock::now() + acceptPause);
+        asio::steady_timer pause(m_ioContext, Clock::now() + acceptRetryDelay);
         co_await pause.async_wait(use_awaitable);
     }
 }
 
-asio::awaitable<void> Traffic::serveClient(asio::ip::tcp::socket socket)
+asio::awaitable<void> TrafficServer::serveClient(asio::ip::tcp::socket socket)
 {
-    ClientStream client(std::move(socket));
-    m_clientStreams.insert(&client);
-    struct Leave {
-        Traffic& traffic;
-        ClientStream* client;
-        ~Leave()
+    DownstreamConnection client(std::move(socket));
+    m_clientConnections.insert(&client);
+    struct Unregister {
+        TrafficServer& traffic;
+        DownstreamConnection* client;
+        ~Unregister()
         {
-            traffic.m_clientStreams.erase(client);
-            traffic.endIfIdle();
+            traffic.m_clientConnections.erase(client);
+            traffic.stopIfIdle();
         }
-    } leave { *this, &client };
+    } unregister { *this, &client };
     for (;;) {
         auto limits = m_snapshot->configuration ? m_snapshot->configuration->limits() : ClientLimits {};
         ClientRequest request;
-        auto problem = co_await client.read(limits, request);
-        if (problem == ReadProblem::Closed)
+        auto error = co_await client.readRequest(limits, request);
+        if (error == ReadError::Closed)
             co_return;
         if (m_stopDeadline)
-            client.setWantsClose();
-        if (problem != ReadProblem::None) {
-            co_await m_server.refuseUnread(client, problem);
+            client.setMustClose();
+        if (error != ReadError::None) {
+            co_await m_server.rejectUnreadable(client, error);
             co_return co_await client.close();
         }
         bool isOpen = co_await m_server.serve(client, std::move(request));
         if (!isOpen)
             co_return;
-        if (client.wantsClose())
+        if (client.mustClose())
             co_return co_await client.close();
     }
 }
 
-asio::awaitable<void> Traffic::servePage(asio::ip::tcp::socket socket)
+asio::awaitable<void> TrafficServer::serveStatusPage(asio::ip::tcp::socket socket)
 {
-    ClientStream client(std::move(socket));
+    DownstreamConnection client(std::move(socket));
     ClientLimits limits;
     limits.headerTimeout = pageTimeout;
     for (;;) {
         ClientRequest request;
-        if (co_await client.read(limits, request) != ReadProblem::None)
+        if (co_await client.readRequest(limits, request) != ReadError::None)
             co_return;
-        auto answer = pageFor(request);
-        co_await client.write(answer);
-        if (client.wantsClose())
+        auto response = statusPage(request);
+        co_await client.writeResponse(response);
+        if (client.mustClose())
             co_return co_await client.close();
     }
 }
 
-ClientAnswer Traffic::pageFor(const ClientRequest& request)
+ClientResponse TrafficServer::statusPage(const ClientRequest& request)
 {
     std::string_view target(request.target().data(), request.target().size());
     auto path = target.substr(0, target.find('?'));
-    ClientAnswer answer(http::status::ok, request.version());
+    ClientResponse response(http::status::ok, request.version());
     if (path == m_protocol.readyPath) {
         if (!m_snapshot->isReady)
-            answer.result(http::status::service_unavailable);
+            response.result(http::status::service_unavailable);
     } else if (path == m_protocol.directoryPath) {
-        auto entries = entriesFor();
+        auto entries = directoryEntries();
         if (entries.empty())
-            answer.result(http::status::service_unavailable);
+            response.result(http::status::service_unavailable);
         auto now = Clock::now();
-        answer.set(http::field::content_type, "application/json");
-        answer.body() = m_protocol.encodeDirectory(entries, now + m_settings.directoryKept, now);
+        response.set(http::field::content_type, "application/json");
+        response.body() = m_protocol.encodeDirectory(entries, now + m_settings.directoryKept, now);
     } else
-        answer.result(http::status::not_found);
-    answer.prepare_payload();
-    return answer;
+        response.result(http::status::not_found);
+    response.prepare_payload();
+    return response;
 }
 
 /// Entries for a client of this data centre: those here, or all where fewer than two are. Clients ask the nearest entry
 /// first, so the data centre is theirs, and two leave them one when the other dies.
-std::vector<Endpoint> Traffic::entriesFor() const
+std::vector<Endpoint> TrafficServer::directoryEntries() const
 {
-    std::vector<Endpoint> near;
+    std::vector<Endpoint> local;
     std::vector<Endpoint> all;
     auto add = [&](const Endpoint& endpoint, const DataCentreName& dataCentre) {
         all.push_back(endpoint);
         if (dataCentre == m_settings.dataCentre)
-            near.push_back(endpoint);
+            local.push_back(endpoint);
     };
     if (m_snapshot->isReady)
         add(m_settings.clients, m_settings.dataCentre);
@@ -218,69 +218,69 @@
         if (entry.state == EntryState::Serving)
             add(entry.clients, entry.dataCentre);
     }
-    auto& chosen = near.size() >= 2 ? near : all;
-    if (chosen.size() > mostEntriesTold)
-        chosen.resize(mostEntriesTold);
+    auto& chosen = local.size() >= 2 ? local : all;
+    if (chosen.size() > maxDirectoryEntries)
+        chosen.resize(maxDirectoryEntries);
     return chosen;
 }
 
-void Traffic::tellLoadsBy(TimePoint time)
+void TrafficServer::scheduleLoadUpdate(TimePoint time)
 {
-    if (m_tellAt && *m_tellAt <= time)
+    if (m_loadUpdateAt && *m_loadUpdateAt <= time)
         return;
-    m_tellAt = time;
-    m_tellTimer.expires_at(time);
-    m_tellTimer.async_wait([this](boost::system::error_code ec) {
+    m_loadUpdateAt = time;
+    m_loadUpdateTimer.expires_at(time);
+    m_loadUpdateTimer.async_wait([this](boost::system::error_code ec) {
         if (ec)
             return;
-        m_tellAt.reset();
-        tellLoads();
+        m_loadUpdateAt.reset();
+        sendLoadUpdate();
     });
 }
 
-void Traffic::tellLoads()
+void TrafficServer::sendLoadUpdate()
 {
     auto now = Clock::now();
-    auto& board = m_desk.dispatcher().loads();
-    auto loads = board.ownLoads();
+    auto& loadBalancer = m_dispatcher.reducer().loads();
+    auto loads = loadBalancer.ownLoads();
     // Entries elsewhere know the load of their servers by their neighbours' word, and by this one's where it uses them.
     // Once more when it ceases to, lest the last word counts on.
-    auto used = board.dataCentresUsed();
-    auto isTold = [&](const DataCentreName& dataCentre) { return dataCentre == m_settings.dataCentre || used.contains(dataCentre) || m_toldFar.contains(dataCentre); };
+    auto used = loadBalancer.dataCentresUsed();
+    auto isRecipient = [&](const DataCentreName& dataCentre) { return dataCentre == m_settings.dataCentre || used.contains(dataCentre) || m_remoteRecipients.contains(dataCentre); };
     bool isBusy = !loads.empty();
     // That a server has named another limit, or none, concerns entries everywhere.
-    bool isLimitNews = std::exchange(m_limitNewsTold, board.limits().newsHeard()) != board.limits().newsHeard();
+    bool isLimitChanged = std::exchange(m_sentLimitVersion, loadBalancer.limits().newsHeard()) != loadBalancer.limits().newsHeard();
     std::vector<LimitWord> limits;
-    if (isLimitNews || m_limitsToldAgainAt <= now) {
-        limits = board.limits().words(now);
-        m_limitsToldAgainAt = now + limitsToldEvery;
+    if (isLimitChanged || m_limitsRepeatAt <= now) {
+        limits = loadBalancer.limits().words(now);
+        m_limitsRepeatAt = now + limitRepeatInterval;
     }
-    auto bytes = encode(NewsMessage(LoadNews { m_incarnation, ++m_loadSequence, std::move(loads), std::move(limits), board.silentServers(now) }));
-    int told = 0;
+    auto bytes = encode(NewsMessage(LoadNews { m_incarnation, ++m_loadSequence, std::move(loads), std::move(limits), loadBalancer.silentServers(now) }));
+    int recipients = 0;
     for (auto& entry : m_snapshot->entries) {
-        if (m_snapshot->sharesLoadNearby && !isLimitNews && !isTold(entry.dataCentre))
+        if (m_snapshot->sharesLoadNearby && !isLimitChanged && !isRecipient(entry.dataCentre))
             continue;
-        m_news->sendEncoded(Endpoint(entry.control.address(), m_settings.load.port()), NewsKind::Load, bytes);
-        ++told;
+        m_loadSocket->sendEncoded(Endpoint(entry.control.address(), m_settings.load.port()), NewsKind::Load, bytes);
+        ++recipients;
     }
-    m_toldFar = std::move(used);
-    m_tellNotBefore = now + std::max(tellAtMostEvery, told * tellPauseForEach);
+    m_remoteRecipients = std::move(used);
+    m_loadUpdateNotBefore = now + std::max(minLoadUpdateInterval, recipients * loadUpdateIntervalPerEntry);
     // Repeated while there is work, as datagrams get lost and what they say counts for a while only.
     if (isBusy)
-        tellLoadsBy(now + PeerLoads::toldEvery);
+        scheduleLoadUpdate(now + PeerLoads::toldEvery);
 }
 
-void Traffic::stop(TimePoint deadline)
+void TrafficServer::stop(TimePoint deadline)
 {
     asio::post(m_ioContext, [this, deadline] {
         m_stopDeadline = deadline;
         auto now = Clock::now();
-        m_stopNotBefore = std::min(now + acceptAfterStop, deadline);
+        m_stopNotBefore = std::min(now + acceptGracePeriod, deadline);
         m_stopTimer.expires_at(m_stopNotBefore);
         m_stopTimer.async_wait([this](boost::system::error_code ec) {
             if (ec)
                 return;
-            endIfIdle();
+            stopIfIdle();
             m_stopTimer.expires_at(*m_stopDeadline);
             m_stopTimer.async_wait([this](boost::system::error_code error) {
                 if (!error)
@@ -290,11 +290,11 @@
     });
 }
 
-void Traffic::endIfIdle()
+void TrafficServer::stopIfIdle()
 {
     if (!m_stopDeadline || Clock::now() < m_stopNotBefore)
         return;
-    bool isBusy = std::any_of(m_clientStreams.begin(), m_clientStreams.end(), [](auto* client) { return !client->isIdle(); });
+    bool isBusy = std::any_of(m_clientConnections.begin(), m_clientConnections.end(), [](auto* client) { return !client->isIdle(); });
     if (!isBusy)
         m_ioContext.stop();
 }
--- a/src/gateway/upstream.cc
+++ b/src/gateway/upstream-pool.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/upstream.h"
+#include "src/gateway/upstream-pool.h"
 
 #include "src/gateway/snapshot.h"
 
@@ -19,30 +19,30 @@
 
 /// Bytes written to a peer that has fallen silent are given up after this long, which ends the connection: packets cross
 /// a data centre in milliseconds, and a partition that heals sooner loses nothing.
-constexpr unsigned userTimeoutMs = 3000;
+constexpr unsigned tcpUserTimeoutMs = 3000;
 
 } // namespace
 
-std::size_t idleConnectionsFor(std::uint32_t maximum, std::uint32_t slots, std::size_t entries)
+std::size_t idleConnectionLimit(std::uint32_t maximum, std::uint32_t slots, std::size_t entries)
 {
     if (maximum == 0)
-        return UpstreamPool::mostIdlePerServer;
-    auto left = maximum > slots ? maximum - slots : 0;
-    return std::min<std::size_t>(left / std::max<std::size_t>(entries, 1), UpstreamPool::mostIdlePerServer);
+        return UpstreamPool::maxIdlePerServer;
+    auto available = maximum > slots ? maximum - slots : 0;
+    return std::min<std::size_t>(available / std::max<std::size_t>(entries, 1), UpstreamPool::maxIdlePerServer);
 }
 
-UpstreamConnection::UpstreamConnection(asio::io_context& ioContext, std::shared_ptr<Registry> open)
+UpstreamConnection::UpstreamConnection(asio::io_context& ioContext, std::shared_ptr<Registry> registry)
     : stream(ioContext)
-    , m_open(std::move(open))
+    , m_registry(std::move(registry))
 {
-    m_open->insert(this);
+    m_registry->insert(this);
 }
 
 /// Failure: a client leaves while the server stands still. Closed in order, the server reads the request when it wakes,
 /// and works for nobody. A reset takes back what it has not read.
 UpstreamConnection::~UpstreamConnection()
 {
-    m_open->erase(this);
+    m_registry->erase(this);
     if (!isInUse)
         return;
     boost::system::error_code ec;
@@ -51,7 +51,7 @@
 
 UpstreamPool::UpstreamPool(asio::io_context& ioContext)
     : m_ioContext(ioContext)
-    , m_open(std::make_shared<UpstreamConnection::Registry>())
+    , m_openConnections(std::make_shared<UpstreamConnection::Registry>())
 {
 }
 
@@ -77,32 +77,32 @@
 
 asio::awaitable<UpstreamConnectionPtr> UpstreamPool::connect(BackendServer server, TimePoint deadline)
 {
-    auto connection = std::make_unique<UpstreamConnection>(m_ioContext, m_open);
+    auto connection = std::make_unique<UpstreamConnection>(m_ioContext, m_openConnections);
     connection->server = server.life();
     connection->stream.expires_at(deadline);
     co_await connection->stream.async_connect(server.address, use_awaitable);
     connection->stream.socket().set_option(asio::ip::tcp::no_delay(true));
-    connection->stream.socket().set_option(asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>(userTimeoutMs));
+    connection->stream.socket().set_option(asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>(tcpUserTimeoutMs));
     co_return connection;
 }
 
-void UpstreamPool::putBack(UpstreamConnectionPtr connection, TimePoint idleUntil)
+void UpstreamPool::release(UpstreamConnectionPtr connection, TimePoint idleUntil)
 {
     auto server = connection->server;
-    auto most = mostIdleOf(server);
-    if (most == 0)
+    auto limit = idleLimitOf(server);
+    if (limit == 0)
         return;
     auto& list = m_idle[server];
     connection->stream.expires_never();
     list.push_back({ std::move(connection), idleUntil, ++m_lastNumber });
-    if (list.size() > most)
+    if (list.size() > limit)
         list.pop_front();
-    co_spawn(m_ioContext, watch(server, m_lastNumber), asio::detached);
+    co_spawn(m_ioContext, watchIdleConnection(server, m_lastNumber), asio::detached);
 }
 
 /// Failure: a server closes an idle connection, or sends bytes that nobody asked for. Used again, the connection would
 /// lose a request or answer one with the bytes of another. An idle connection that becomes readable is closed.
-asio::awaitable<void> UpstreamPool::watch(ServerLife server, std::uint64_t number)
+asio::awaitable<void> UpstreamPool::watchIdleConnection(ServerLife server, std::uint64_t number)
 {
     auto& list = m_idle[server];
     auto it = std::find_if(list.begin(), list.end(), [&](auto& idle) { return idle.number == number; });
@@ -112,36 +112,36 @@
     co_await it->connection->stream.socket().async_wait(asio::ip::tcp::socket::wait_read, asio::redirect_error(use_awaitable, ec));
     // Cancelled: it was taken.
     if (!ec)
-        drop(server, number);
+        closeIdleConnection(server, number);
 }
 
-void UpstreamPool::drop(const ServerLife& server, std::uint64_t number)
+void UpstreamPool::closeIdleConnection(const ServerLife& server, std::uint64_t number)
 {
     auto it = m_idle.find(server);
     if (it != m_idle.end())
         it->second.remove_if([&](auto& idle) { return idle.number == number; });
 }
 
-std::size_t UpstreamPool::mostIdleOf(const ServerLife& server) const
+std::size_t UpstreamPool::idleLimitOf(const ServerLife& server) const
 {
-    auto it = m_mostIdle.find(server);
-    return it == m_mostIdle.end() ? mostIdlePerServer : it->second;
+    auto it = m_idleLimits.find(server);
+    return it == m_idleLimits.end() ? maxIdlePerServer : it->second;
 }
 
-void UpstreamPool::keepOnly(const Snapshot& snapshot)
+void UpstreamPool::applySnapshot(const Snapshot& snapshot)
 {
     auto now = Clock::now();
-    Starts listed;
-    m_mostIdle.clear();
+    ServerStarts listed;
+    m_idleLimits.clear();
     for (auto& server : snapshot.servers) {
         listed[server.id] = server.startedAt;
         auto* service = snapshot.configuration ? snapshot.configuration->findService(server.service) : nullptr;
         if (service)
-            m_mostIdle[server.life()] = idleConnectionsFor(service->maximumConnections, server.slots, snapshot.entriesThatMayExist);
+            m_idleLimits[server.life()] = idleConnectionLimit(service->maximumConnections, server.slots, snapshot.entriesThatMayExist);
     }
     for (auto& [server, list] : m_idle) {
         list.remove_if([&](auto& idle) { return idle.idleUntil <= now; });
-        while (list.size() > mostIdleOf(server))
+        while (list.size() > idleLimitOf(server))
             list.pop_front();
     }
     auto isListed = [&](const ServerLife& life) {
@@ -149,14 +149,14 @@
         return it != listed.end() && it->second == life.startedAt;
     };
     std::erase_if(m_idle, [&](auto& it) { return !isListed(it.first); });
-    breakEnded(listed);
+    shutDownEndedIncarnations(listed);
 }
 
 /// Failure: a server's process died behind a silent link and started again under its id. Its old connections never tell;
 /// requests on them would wait for their deadlines. Shut down, each ends at once as lost, and what may run again does.
-void UpstreamPool::breakEnded(const Starts& listed)
+void UpstreamPool::shutDownEndedIncarnations(const ServerStarts& listed)
 {
-    for (auto* connection : *m_open) {
+    for (auto* connection : *m_openConnections) {
         auto it = listed.find(connection->server.id);
         bool hasEnded = it != listed.end() && it->second > connection->server.startedAt;
         if (!hasEnded)
--- a/src/gateway/upstream.h
+++ b/src/gateway/upstream-pool.h
@@ -20,8 +20,8 @@
 struct UpstreamConnection {
     using Registry = std::set<UpstreamConnection*>;
 
-    /// Signs itself in and out of `open`.
-    UpstreamConnection(boost::asio::io_context& ioContext, std::shared_ptr<Registry> open);
+    /// Signs itself in and out of `registry`.
+    UpstreamConnection(boost::asio::io_context& ioContext, std::shared_ptr<Registry> registry);
     ~UpstreamConnection();
 
     boost::beast::tcp_stream stream;
@@ -33,23 +33,23 @@
     bool isReused { false };
 
 private:
-    std::shared_ptr<Registry> m_open;
+    std::shared_ptr<Registry> m_registry;
 };
 
 using UpstreamConnectionPtr = std::unique_ptr<UpstreamConnection>;
 
 /// Idle connections that one of `entries` entries may keep to a server that accepts `maximum` from all of them together, and
 /// has `slots` requests running. A server that names no maximum, 0, bounds nothing.
-std::size_t idleConnectionsFor(std::uint32_t maximum, std::uint32_t slots, std::size_t entries);
+std::size_t idleConnectionLimit(std::uint32_t maximum, std::uint32_t slots, std::size_t entries);
 
 /// Idle connections to backend servers, by the server's life: an address that has gone to another server gets none of them.
 /// Belongs to the traffic thread.
 class UpstreamPool {
 public:
     /// An idle connection is closed after this long, well before servers usually do.
-    static constexpr milliseconds idleFor { 4000 };
+    static constexpr milliseconds idleTimeout { 4000 };
     /// Kept for one server at most.
-    static constexpr std::size_t mostIdlePerServer { 16 };
+    static constexpr std::size_t maxIdlePerServer { 16 };
 
     explicit UpstreamPool(boost::asio::io_context& ioContext);
 
@@ -59,11 +59,11 @@
     boost::asio::awaitable<UpstreamConnectionPtr> connect(BackendServer server, TimePoint deadline);
     /// Keeps a connection whose last answer was read whole, with nothing behind it, until `idleUntil`; closes it where this
     /// entry has as many idle ones at that server as it may.
-    void putBack(UpstreamConnectionPtr connection, TimePoint idleUntil);
+    void release(UpstreamConnectionPtr connection, TimePoint idleUntil);
     /// Closes the idle connections of servers that are not in the snapshot, those beyond this entry's part, and all
     /// connections of lives that have ended because their server has started again.
-    void keepOnly(const Snapshot& snapshot);
-    void closeAll() { m_idle.clear(); }
+    void applySnapshot(const Snapshot& snapshot);
+    void closeIdle() { m_idle.clear(); }
 
 private:
     struct Idle {
@@ -72,19 +72,19 @@
         std::uint64_t number { 0 };
     };
 
-    boost::asio::awaitable<void> watch(ServerLife server, std::uint64_t number);
-    void drop(const ServerLife& server, std::uint64_t number);
-    std::size_t mostIdleOf(const ServerLife& server) const;
+    boost::asio::awaitable<void> watchIdleConnection(ServerLife server, std::uint64_t number);
+    void closeIdleConnection(const ServerLife& server, std::uint64_t number);
+    std::size_t idleLimitOf(const ServerLife& server) const;
     /// Start of each server that is listed, by id.
-    using Starts = std::map<BackendServerId, ServerStart>;
-    void breakEnded(const Starts& listed);
+    using ServerStarts = std::map<BackendServerId, ServerStart>;
+    void shutDownEndedIncarnations(const ServerStarts& listed);
 
     boost::asio::io_context& m_ioContext;
     std::map<ServerLife, std::list<Idle>> m_idle;
     /// Idle connections that this entry may keep, by server.
-    std::map<ServerLife, std::size_t> m_mostIdle;
+    std::map<ServerLife, std::size_t> m_idleLimits;
     /// All connections that are open, idle and in use.
-    std::shared_ptr<UpstreamConnection::Registry> m_open;
+    std::shared_ptr<UpstreamConnection::Registry> m_openConnections;
     std::uint64_t m_lastNumber { 0 };
 };
 
--- a/test/event-splitter_test.cc
+++ b/test/event-splitter_test.cc
@@ -9,8 +9,8 @@
     const std::string stream = "id: 1\ndata: a\n\nid: 2\ndata: b\n\ndata: no id\n\n";
     for (std::size_t cut = 0; cut <= stream.size(); ++cut) {
         EventSplitter splitter;
-        auto events = splitter.take(stream.substr(0, cut));
-        for (auto& event : splitter.take(stream.substr(cut)))
+        auto events = splitter.append(stream.substr(0, cut));
+        for (auto& event : splitter.append(stream.substr(cut)))
             events.push_back(event);
         INFO("cut at " << cut);
         REQUIRE(events.size() == 3);
@@ -18,17 +18,17 @@
         CHECK(events[0].id == 1);
         CHECK(events[1].id == 2);
         CHECK_FALSE(events[2].id.has_value());
-        CHECK_FALSE(splitter.isInEvent());
+        CHECK_FALSE(splitter.hasPartialEvent());
     }
 }
 
 TEST_CASE("EventSplitter: lines may end with carriage returns")
 {
     EventSplitter splitter;
-    auto events = splitter.take("id: 7\r\ndata: x\r\n\r\nid: 8\r\n");
+    auto events = splitter.append("id: 7\r\ndata: x\r\n\r\nid: 8\r\n");
     REQUIRE(events.size() == 1);
     CHECK(events[0].id == 7);
-    CHECK(splitter.isInEvent());
+    CHECK(splitter.hasPartialEvent());
 }
 
 // A server dies in the middle of an event and another goes on with the next whole one. Glued together, the client would
@@ -36,10 +36,10 @@
 TEST_CASE("EventSplitter: half an event is dropped when another server goes on")
 {
     EventSplitter splitter;
-    splitter.take("id: 3\ndata: half of i");
-    CHECK(splitter.isInEvent());
+    splitter.append("id: 3\ndata: half of i");
+    CHECK(splitter.hasPartialEvent());
     splitter.reset();
-    auto events = splitter.take("id: 3\ndata: whole\n\n");
+    auto events = splitter.append("id: 3\ndata: whole\n\n");
     REQUIRE(events.size() == 1);
     CHECK(events[0].bytes == "id: 3\ndata: whole\n\n");
 }
--- a/test/platform-protocol_test.cc
+++ b/test/platform-protocol_test.cc
@@ -78,7 +78,7 @@
 {
     auto protocol = platform::makeProtocol();
     auto fields = clientRequest();
-    protocol.prepareUpstream(fields, { BackendServerId("s1"), start + milliseconds(700), OrganisationName("cafe"), 13 }, start);
+    protocol.prepareUpstreamRequest(fields, { BackendServerId("s1"), start + milliseconds(700), OrganisationName("cafe"), 13 }, start);
     CHECK(valueOf(fields, "X-Api-Key") == "(absent)");
     CHECK(valueOf(fields, "X-Tenant") == "cafe");
     CHECK(valueOf(fields, "X-Deadline-Ms") == "700");
@@ -86,22 +86,22 @@
     CHECK(valueOf(fields, "Last-Event-Id") == "13");
     CHECK(valueOf(fields, "X-Model") == "m");
     auto open = clientRequest();
-    protocol.prepareUpstream(open, { BackendServerId("s1"), start, std::nullopt, std::nullopt }, start);
+    protocol.prepareUpstreamRequest(open, { BackendServerId("s1"), start, std::nullopt, std::nullopt }, start);
     CHECK(valueOf(open, "X-Tenant") == "(absent)");
 }
 
 TEST_CASE("Platform: only some answers promise that nothing ran")
 {
-    auto decode = [protocol = platform::makeProtocol()](const AnswerFields& it) { return protocol.decodeAnswer(it, start); };
-    AnswerFields fields;
+    auto decode = [protocol = platform::makeProtocol()](const ResponseFields& it) { return protocol.decodeResponse(it, start); };
+    ResponseFields fields;
     fields.result(503);
     CHECK_FALSE(decode(fields).isNotRun);
     fields.set("X-Not-Executed", "1");
     CHECK(decode(fields).isNotRun);
-    AnswerFields misdirected;
+    ResponseFields misdirected;
     misdirected.result(421);
     CHECK(decode(misdirected).isNotRun);
-    AnswerFields good;
+    ResponseFields good;
     good.result(200);
     good.set("X-Response-Stamp", "1.2");
     good.set("X-Request-Id", "abc");
@@ -112,11 +112,11 @@
 // Failure: a limit that is read wrongly is exceeded, or keeps a server idle.
 TEST_CASE("Platform: a limit that a server names is decoded")
 {
-    auto decode = [protocol = platform::makeProtocol()](const AnswerFields& it) { return protocol.decodeAnswer(it, start); };
-    AnswerFields none;
+    auto decode = [protocol = platform::makeProtocol()](const ResponseFields& it) { return protocol.decodeResponse(it, start); };
+    ResponseFields none;
     CHECK_FALSE(decode(none).limit.has_value());
     auto limitOf = [&](const char* text) {
-        AnswerFields fields;
+        ResponseFields fields;
         fields.set("Server-Limit", text);
         auto limit = decode(fields).limit;
         REQUIRE(limit.has_value());
@@ -136,22 +136,22 @@
 
 TEST_CASE("Platform: of two limits in one answer the lower one counts")
 {
-    AnswerFields fields;
+    ResponseFields fields;
     fields.insert("Server-Limit", "3");
     fields.insert("Server-Limit", "2");
     fields.insert("Server-Limit", "x");
-    CHECK(platform::makeProtocol().decodeAnswer(fields, start).limit->rate == RequestRate(2));
+    CHECK(platform::makeProtocol().decodeResponse(fields, start).limit->rate == RequestRate(2));
 }
 
 // Failure: a rest that is read wrongly is cut short, or keeps a server idle.
 TEST_CASE("Platform: a rest that a server asks for is decoded")
 {
     auto decode = [protocol = platform::makeProtocol()](unsigned status, const std::vector<const char*>& texts) {
-        AnswerFields fields;
+        ResponseFields fields;
         fields.result(status);
         for (auto* text : texts)
             fields.insert(http::field::retry_after, text);
-        return protocol.decodeAnswer(fields, start).rest;
+        return protocol.decodeResponse(fields, start).rest;
     };
     CHECK_FALSE(decode(503, {}).has_value());
     CHECK(decode(503, { "3" })->until == start + seconds(3));
@@ -172,10 +172,10 @@
 TEST_CASE("Platform: that a server is leaving is decoded")
 {
     auto decode = [protocol = platform::makeProtocol()](const char* text) {
-        AnswerFields fields;
+        ResponseFields fields;
         if (text)
             fields.set("Server-Leaving", text);
-        return protocol.decodeAnswer(fields, start).isLeaving;
+        return protocol.decodeResponse(fields, start).isLeaving;
     };
     CHECK(decode("1"));
     CHECK_FALSE(decode(nullptr));
--- a/test/process/platform-entry_test.cc
+++ b/test/process/platform-entry_test.cc
@@ -1,7 +1,7 @@
 #include "test/ctl-runner.h"
 #include "test/process/http-call.h"
 #include "test/process/process-harness.h"
-#include "test/soak/users-platform.h"
+#include "test/soak/fake-platform.h"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/io_context.hpp>
@@ -71,7 +71,7 @@
     }
 
     TemporaryFolder folder;
-    UsersPlatform platform;
+    FakePlatform platform;
     std::string clients;
     std::string ready;
     std::string metrics;
@@ -87,8 +87,8 @@
     EntryRig rig;
     rig.start();
     REQUIRE(rig.isReady());
-    CHECK(call(rig.request("once", "a1")).body == UsersPlatform::plainBody("a1"));
-    CHECK(call(rig.request("safe", "a2")).body == UsersPlatform::plainBody("a2"));
+    CHECK(call(rig.request("once", "a1")).body == FakePlatform::plainBody("a1"));
+    CHECK(call(rig.request("safe", "a2")).body == FakePlatform::plainBody("a2"));
     CHECK_THAT(call(rig.request("stream", "a3")).body, Catch::Matchers::EndsWith("data: a3 part 12\n\n"));
     CHECK(call(rig.request("once", "a4", "wrong")).head.result_int() == 401);
     CHECK(call(rig.request("nowhere", "a5")).head.result_int() == 404);
@@ -175,7 +175,7 @@
         served += call(rig.request("safe", fmt::format("l{}", n))).head.result_int() == 200 ? 1 : 0;
         std::this_thread::sleep_for(milliseconds(20));
     }
-    CHECK_THAT(rig.platform.brokenRules(), Catch::Matchers::Equals(std::vector<std::string>()));
+    CHECK_THAT(rig.platform.violations(), Catch::Matchers::Equals(std::vector<std::string>()));
     CHECK(served >= 6);
     CHECK_THAT(rig.log(), Contains("ServerLimitChanged") && Contains("limit=1 source=answer"));
 }
@@ -186,7 +186,7 @@
     EntryRig rig;
     rig.start();
     REQUIRE(rig.isReady());
-    rig.platform.setRest(0, milliseconds(2500));
+    rig.platform.setBackOff(0, milliseconds(2500));
     auto until = Clock::now() + seconds(6);
     int sent = 0;
     int served = 0;
@@ -194,7 +194,7 @@
         served += call(rig.request("safe", fmt::format("r{}", ++sent))).head.result_int() == 200 ? 1 : 0;
         std::this_thread::sleep_for(milliseconds(10));
     }
-    CHECK_THAT(rig.platform.brokenRules(), Catch::Matchers::Equals(std::vector<std::string>()));
+    CHECK_THAT(rig.platform.violations(), Catch::Matchers::Equals(std::vector<std::string>()));
     CHECK(served == sent);
     CHECK_THAT(rig.log(), Contains("ServerRestAsked e1 server=i-1 rest-ms=2"));
 }
@@ -214,16 +214,16 @@
     std::this_thread::sleep_for(milliseconds(2000));
     rig.platform.restoreStore(*copy, milliseconds(100), milliseconds(3000));
     std::this_thread::sleep_for(milliseconds(2500));
-    auto gone = rig.platform.leave(0);
-    auto left = Clock::now();
-    for (int n = 0; Clock::now() < left + milliseconds(3500); ++n) {
+    auto leavingServer = rig.platform.leave(0);
+    auto leftAt = Clock::now();
+    for (int n = 0; Clock::now() < leftAt + milliseconds(3500); ++n) {
         call(rig.request("safe", fmt::format("v{}", n)));
         std::this_thread::sleep_for(milliseconds(10));
     }
     int late = 0;
     for (auto& [id, runs] : rig.platform.runs())
-        late += static_cast<int>(std::count_if(runs.begin(), runs.end(), [&](auto& it) { return it.server == gone && it.at > left + seconds(2); }));
-    INFO(late << " requests reached " << gone << " more than 2 s after its entry was removed, expected 0");
+        late += static_cast<int>(std::count_if(runs.begin(), runs.end(), [&](auto& it) { return it.server == leavingServer && it.at > leftAt + seconds(2); }));
+    INFO(late << " requests reached " << leavingServer << " more than 2 s after its entry was removed, expected 0");
     CHECK(late == 0);
 }
 
@@ -234,18 +234,18 @@
     rig.start();
     REQUIRE(rig.isReady());
     rig.platform.setStoreMode(StoreMode::Silent);
-    auto gone = rig.platform.leave(0);
-    auto left = Clock::now();
-    for (int n = 0; Clock::now() < left + milliseconds(3500); ++n) {
+    auto leavingServer = rig.platform.leave(0);
+    auto leftAt = Clock::now();
+    for (int n = 0; Clock::now() < leftAt + milliseconds(3500); ++n) {
         call(rig.request("safe", fmt::format("w{}", n)));
         std::this_thread::sleep_for(milliseconds(10));
     }
-    auto said = rig.platform.leavingSaidAt();
-    REQUIRE(said[gone].count(0) == 1);
+    auto announced = rig.platform.leavingAnnouncedAt();
+    REQUIRE(announced[leavingServer].count(0) == 1);
     int late = 0;
     for (auto& [id, runs] : rig.platform.runs())
-        late += static_cast<int>(std::count_if(runs.begin(), runs.end(), [&](auto& it) { return it.server == gone && it.at > said[gone][0] + seconds(2); }));
-    INFO(late << " requests reached " << gone << " more than 2 s after it had said that it leaves, expected 0");
+        late += static_cast<int>(std::count_if(runs.begin(), runs.end(), [&](auto& it) { return it.server == leavingServer && it.at > announced[leavingServer][0] + seconds(2); }));
+    INFO(late << " requests reached " << leavingServer << " more than 2 s after it had said that it leaves, expected 0");
     CHECK(late == 0);
 }
 
@@ -256,7 +256,7 @@
     rig.start();
     REQUIRE(rig.isReady());
     rig.platform.setStoreMode(StoreMode::Silent);
-    rig.platform.setServerMode(0, ServerMode::Mixing);
+    rig.platform.setServerMode(0, ServerMode::StrayResponses);
     rig.platform.leave(0);
     for (int n = 0; n < 6; ++n)
         call(rig.request("safe", fmt::format("y{}", n)));
@@ -293,7 +293,7 @@
     for (auto& [id, future] : streams) {
         auto stream = future.get();
         INFO(rig.log());
-        CHECK(stream.body == UsersPlatform::wholeStream(id));
+        CHECK(stream.body == FakePlatform::completeStream(id));
         CHECK(std::chrono::duration<double>(stream.time).count() < 2);
     }
     isOver = true;
@@ -326,7 +326,7 @@
     EntryRig rig;
     rig.start();
     REQUIRE(rig.isReady());
-    rig.setAllServers(ServerMode::LosingAnswers);
+    rig.setAllServers(ServerMode::DroppingResponses);
     CHECK(call(rig.request("once", "e1")).head.result_int() == 502);
     rig.setAllServers(ServerMode::Full);
     CHECK(call(rig.request("once", "e2")).head.result_int() == 503);
--- a/test/soak/users-platform.cc
+++ b/test/soak/fake-platform.cc
@@ -1,4 +1,4 @@
-#include "test/soak/users-platform.h"
+#include "test/soak/fake-platform.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -21,10 +21,10 @@
 
 namespace {
 
-constexpr milliseconds eventEvery { 15 };
-constexpr milliseconds plainWork { 8 };
-constexpr milliseconds silentFor { 60'000 };
-constexpr milliseconds watchPoll { 15 };
+constexpr milliseconds eventInterval { 15 };
+constexpr milliseconds plainRequestTime { 8 };
+constexpr milliseconds silenceDuration { 60'000 };
+constexpr milliseconds watchPollInterval { 15 };
 
 std::string toBase64(const std::string& text)
 {
@@ -55,20 +55,20 @@
 
 } // namespace
 
-std::string UsersPlatform::plainBody(const std::string& id)
+std::string FakePlatform::plainBody(const std::string& id)
 {
     return "answer to " + id;
 }
 
-std::string UsersPlatform::wholeStream(const std::string& id)
+std::string FakePlatform::completeStream(const std::string& id)
 {
     std::string out;
-    for (int n = 1; n <= eventsOfStream; ++n)
+    for (int n = 1; n <= eventsPerStream; ++n)
         out += eventText(id, n);
     return out;
 }
 
-UsersPlatform::UsersPlatform(int servers, int slots)
+FakePlatform::FakePlatform(int servers, int slots)
     : m_slots(slots)
 {
     m_store = standin::HttpServer::create(m_io, "127.0.0.1:0", [this](Exchange& exchange) { return serveStore(exchange); }).value();
@@ -80,79 +80,79 @@
         server.address = fmt::format("127.0.0.1:{}", server.http->endpoint().port());
         server.ownAddress = server.address;
         server.id = fmt::format("i-{}", ++m_lastId);
-        list(n);
+        listServer(n);
     }
     m_thread = std::thread([this] { m_io.run(); });
 }
 
-UsersPlatform::~UsersPlatform()
+FakePlatform::~FakePlatform()
 {
     m_io.stop();
     m_thread.join();
 }
 
-void UsersPlatform::setServerMode(std::size_t server, ServerMode mode)
+void FakePlatform::setServerMode(std::size_t server, ServerMode mode)
 {
     std::scoped_lock lock(m_mutex);
     m_servers[server].mode = mode;
 }
 
-void UsersPlatform::setLimit(std::size_t server, std::optional<double> rate)
+void FakePlatform::setLimit(std::size_t server, std::optional<double> rate)
 {
     std::scoped_lock lock(m_mutex);
     auto& it = m_servers[server];
     it.limit = rate;
-    it.rule.onLimit(Clock::now(), rate);
+    it.limitRule.onLimit(Clock::now(), rate);
 }
 
-void UsersPlatform::setRest(std::size_t server, std::optional<milliseconds> rest)
+void FakePlatform::setBackOff(std::size_t server, std::optional<milliseconds> backOff)
 {
     std::scoped_lock lock(m_mutex);
-    m_servers[server].rest = rest;
+    m_servers[server].backOff = backOff;
 }
 
-void UsersPlatform::excuseEntry(int entry)
+void FakePlatform::exemptEntry(int entry)
 {
     std::scoped_lock lock(m_mutex);
     for (auto& server : m_servers) {
-        server.rule.onExcused(Clock::now(), entry);
-        server.restRule.onExcused(entry);
+        server.limitRule.onExcused(Clock::now(), entry);
+        server.backOffRule.onExcused(entry);
     }
-    for (auto& [server, said] : m_leavingSaidAt)
-        said.erase(entry);
+    for (auto& [server, announced] : m_leavingAnnouncedAt)
+        announced.erase(entry);
 }
 
-std::string UsersPlatform::idThrough(const std::string& id, std::size_t entry)
+std::string FakePlatform::requestIdVia(const std::string& id, std::size_t entry)
 {
     return fmt::format("{}{}{}", id, entryMark, entry);
 }
 
-std::vector<std::string> UsersPlatform::brokenRules() const
+std::vector<std::string> FakePlatform::violations() const
 {
     std::scoped_lock lock(m_mutex);
-    std::vector<std::string> broken;
+    std::vector<std::string> found;
     for (auto& server : m_servers) {
-        if (!server.rule.broken().empty())
-            broken.push_back(fmt::format("server {}: {}", server.id, server.rule.broken()));
-        if (!server.restRule.broken().empty())
-            broken.push_back(fmt::format("server {}: {}", server.id, server.restRule.broken()));
+        if (!server.limitRule.broken().empty())
+            found.push_back(fmt::format("server {}: {}", server.id, server.limitRule.broken()));
+        if (!server.backOffRule.broken().empty())
+            found.push_back(fmt::format("server {}: {}", server.id, server.backOffRule.broken()));
     }
-    return broken;
+    return found;
 }
 
-void UsersPlatform::listAt(std::size_t server, const std::string& address)
+void FakePlatform::setListedAddress(std::size_t server, const std::string& address)
 {
     std::scoped_lock lock(m_mutex);
     m_servers[server].address = address;
-    list(server);
+    listServer(server);
 }
 
-void UsersPlatform::put(const std::string& key, const std::string& value)
+void FakePlatform::put(const std::string& key, const std::string& value)
 {
     m_items[key] = { value, ++m_revision, false };
 }
 
-void UsersPlatform::list(std::size_t index)
+void FakePlatform::listServer(std::size_t index)
 {
     auto& server = m_servers[index];
     // All fields that a server writes: an entry that lacks one names no server.
@@ -166,7 +166,7 @@
         put(key, value);
 }
 
-std::uint64_t UsersPlatform::publish(const std::string& key, const std::string& organisation)
+std::uint64_t FakePlatform::publish(const std::string& key, const std::string& organisation)
 {
     std::scoped_lock lock(m_mutex);
     auto route = [](const char* name, const char* kind, int timeout) {
@@ -182,35 +182,35 @@
     return m_version;
 }
 
-std::string UsersPlatform::drain(std::size_t index)
+std::string FakePlatform::drain(std::size_t index)
 {
     std::scoped_lock lock(m_mutex);
     auto& server = m_servers[index];
     if (server.isLeaving)
         return server.id;
     server.state = "draining";
-    list(index);
-    endAfter(index, server.id, seconds(2));
+    listServer(index);
+    replaceAfter(index, server.id, seconds(2));
     return server.id;
 }
 
-std::string UsersPlatform::leave(std::size_t index)
+std::string FakePlatform::leave(std::size_t index)
 {
     std::scoped_lock lock(m_mutex);
     auto& server = m_servers[index];
     if (server.isLeaving)
         return server.id;
     m_items["servers/" + server.id] = { "", ++m_revision, true };
-    endAfter(index, server.id, seconds(5));
+    replaceAfter(index, server.id, seconds(5));
     return server.id;
 }
 
 /// Its successor is at the same address; what still names the old one is turned away.
-void UsersPlatform::endAfter(std::size_t index, const std::string& id, milliseconds time)
+void FakePlatform::replaceAfter(std::size_t index, const std::string& id, milliseconds time)
 {
     m_drainedAt[id] = Clock::now();
     m_servers[index].isLeaving = true;
-    after(time, [this, index, id] {
+    runAfter(time, [this, index, id] {
         auto& server = m_servers[index];
         if (auto it = m_items.find("servers/" + id); it != m_items.end() && !it->second.isRemoved)
             it->second = { "", ++m_revision, true };
@@ -218,13 +218,13 @@
         server.state = "ready";
         server.isLeaving = false;
         setLimit(index, std::nullopt);
-        setRest(index, std::nullopt);
-        server.restRule.onReplaced();
-        list(index);
+        setBackOff(index, std::nullopt);
+        server.backOffRule.onReplaced();
+        listServer(index);
     });
 }
 
-void UsersPlatform::after(milliseconds time, std::function<void()> action)
+void FakePlatform::runAfter(milliseconds time, std::function<void()> action)
 {
     asio::co_spawn(
         m_io, [this, time, action = std::move(action)]() -> asio::awaitable<void> {
@@ -235,62 +235,62 @@
         asio::detached);
 }
 
-std::shared_ptr<const UsersPlatform::StoreCopy> UsersPlatform::copyStore() const
+std::shared_ptr<const FakePlatform::StoreCopy> FakePlatform::copyStore() const
 {
     std::scoped_lock lock(m_mutex);
     return std::make_shared<StoreCopy>(StoreCopy { m_items, m_revision });
 }
 
-void UsersPlatform::restoreStore(const StoreCopy& copy, milliseconds rewriteAfter, milliseconds lapseAfter)
+void FakePlatform::restoreStore(const StoreCopy& copy, milliseconds rewriteAfter, milliseconds expireAfter)
 {
     std::scoped_lock lock(m_mutex);
     m_items = copy.items;
     m_revision = copy.revision;
     ++m_era;
-    after(rewriteAfter, [this] { writeAgain(); });
-    after(lapseAfter, [this] { lapseOthers(); });
+    runAfter(rewriteAfter, [this] { rewriteItems(); });
+    runAfter(expireAfter, [this] { expireStaleEntries(); });
 }
 
-void UsersPlatform::writeAgain()
+void FakePlatform::rewriteItems()
 {
     if (m_items["op/config"].value != m_configuration)
         put("op/config", m_configuration);
     for (std::size_t n = 0; n < m_servers.size(); ++n) {
-        if (m_servers[n].writesEntry())
-            list(n);
+        if (m_servers[n].hasListEntry())
+            listServer(n);
     }
 }
 
 /// Removes what no server keeps up.
-void UsersPlatform::lapseOthers()
+void FakePlatform::expireStaleEntries()
 {
     for (auto& [key, item] : m_items) {
         bool isServer = key.starts_with("servers/") && !item.isRemoved;
-        auto isKeptUp = [&name = key](auto& server) { return name == "servers/" + server.id && server.writesEntry(); };
-        if (isServer && std::none_of(m_servers.begin(), m_servers.end(), isKeptUp))
+        auto isRenewed = [&name = key](auto& server) { return name == "servers/" + server.id && server.hasListEntry(); };
+        if (isServer && std::none_of(m_servers.begin(), m_servers.end(), isRenewed))
             item = { "", ++m_revision, true };
     }
 }
 
-std::map<std::string, std::map<int, TimePoint>> UsersPlatform::leavingSaidAt() const
+std::map<std::string, std::map<int, TimePoint>> FakePlatform::leavingAnnouncedAt() const
 {
     std::scoped_lock lock(m_mutex);
-    return m_leavingSaidAt;
+    return m_leavingAnnouncedAt;
 }
 
-std::map<std::string, std::vector<Run>> UsersPlatform::runs() const
+std::map<std::string, std::vector<Run>> FakePlatform::runs() const
 {
     std::scoped_lock lock(m_mutex);
     return m_runs;
 }
 
-std::map<std::string, TimePoint> UsersPlatform::drainedAt() const
+std::map<std::string, TimePoint> FakePlatform::drainedAt() const
 {
     std::scoped_lock lock(m_mutex);
     return m_drainedAt;
 }
 
-json::array UsersPlatform::itemsSince(const std::string& prefix, std::uint64_t after, bool withRemoved) const
+json::array FakePlatform::itemsSince(const std::string& prefix, std::uint64_t after, bool withRemoved) const
 {
     json::array out;
     for (auto& [key, item] : m_items) {
@@ -307,14 +307,14 @@
     return out;
 }
 
-std::string UsersPlatform::listBody(const std::string& prefix) const
+std::string FakePlatform::listBody(const std::string& prefix) const
 {
     std::scoped_lock lock(m_mutex);
     return json::serialize(json::object { { "items", itemsSince(prefix, 0, false) }, { "truncated", false }, { "asOf", m_revision } });
 }
 
 /// Empty while there are no changes, unless `isDue`.
-std::string UsersPlatform::watchBody(const std::string& prefix, std::uint64_t after, bool isDue) const
+std::string FakePlatform::watchBody(const std::string& prefix, std::uint64_t after, bool isDue) const
 {
     std::scoped_lock lock(m_mutex);
     auto events = itemsSince(prefix, after, true);
@@ -323,28 +323,28 @@
     return json::serialize(json::object { { "events", events }, { "asOf", m_revision } });
 }
 
-std::uint64_t UsersPlatform::era() const
+std::uint64_t FakePlatform::era() const
 {
     std::scoped_lock lock(m_mutex);
     return m_era;
 }
 
-std::uint64_t UsersPlatform::revision() const
+std::uint64_t FakePlatform::revision() const
 {
     std::scoped_lock lock(m_mutex);
     return m_revision;
 }
 
-asio::awaitable<void> UsersPlatform::serveStore(Exchange& exchange)
+asio::awaitable<void> FakePlatform::serveStore(Exchange& exchange)
 {
-    if (m_storeMode == StoreMode::Refusing)
+    if (m_storeMode == StoreMode::Unavailable)
         co_return co_await exchange.reply(HttpStatus::service_unavailable, "text/plain", "");
     exchange.setHeader("Store-Era", fmt::format("{}", era()));
     auto prefix = exchange.query("prefix");
     if (exchange.path() == "/v1/kv-range") {
         auto body = listBody(prefix);
         while (m_storeMode == StoreMode::Silent)
-            co_await pause(watchPoll);
+            co_await pause(watchPollInterval);
         co_return co_await exchange.replyJson(HttpStatus::ok, body);
     }
     auto after = std::stoull(exchange.query("after"));
@@ -356,39 +356,39 @@
         auto body = watchBody(prefix, after, Clock::now() >= until);
         if (!body.empty() && m_storeMode != StoreMode::Silent)
             co_return co_await exchange.replyJson(HttpStatus::ok, body);
-        co_await pause(watchPoll);
+        co_await pause(watchPollInterval);
     }
 }
 
-asio::awaitable<void> UsersPlatform::serveRequest(std::size_t index, Exchange& exchange)
+asio::awaitable<void> FakePlatform::serveRequest(std::size_t index, Exchange& exchange)
 {
     ServerMode mode {};
-    std::optional<TimePoint> toldLeavingAt;
+    std::optional<TimePoint> leavingAnnouncedAt;
     {
         std::scoped_lock lock(m_mutex);
         auto& server = m_servers[index];
         mode = server.mode;
         auto entry = entryOf(exchange.header("X-Request-Id"));
-        server.rule.onArrival(Clock::now(), entry);
-        server.restRule.onArrival(Clock::now(), entry);
+        server.limitRule.onArrival(Clock::now(), entry);
+        server.backOffRule.onArrival(Clock::now(), entry);
         if (server.limit) {
             exchange.setHeader("Server-Limit", fmt::format("{}", *server.limit));
-            server.rule.onPassedOn(Clock::now(), entry);
+            server.limitRule.onPassedOn(Clock::now(), entry);
         }
         exchange.setHeader("X-Instance-Id", server.id);
         if (server.isLeaving) {
             exchange.setHeader("Server-Leaving", "1");
-            toldLeavingAt = m_leavingSaidAt[server.id].try_emplace(entry, Clock::now()).first->second;
+            leavingAnnouncedAt = m_leavingAnnouncedAt[server.id].try_emplace(entry, Clock::now()).first->second;
         }
         if (exchange.header("X-Expect-Instance") != server.id) {
             exchange.setHeader("X-Not-Executed", "1");
             mode = ServerMode::Full;
-        } else if (server.rest) {
-            server.restRule.onAsked(Clock::now(), entry, Clock::now() + *server.rest);
-            exchange.setHeader("Retry-After", fmt::format("{:.3f}", std::chrono::duration<double>(*server.rest).count()));
+        } else if (server.backOff) {
+            server.backOffRule.onAsked(Clock::now(), entry, Clock::now() + *server.backOff);
+            exchange.setHeader("Retry-After", fmt::format("{:.3f}", std::chrono::duration<double>(*server.backOff).count()));
             mode = ServerMode::Full;
         } else if (mode != ServerMode::Full && server.running < m_slots) {
-            m_runs[exchange.header("X-Request-Id")].push_back({ server.id, std::string(exchange.path()), exchange.header("X-Tenant"), Clock::now(), m_version, toldLeavingAt });
+            m_runs[exchange.header("X-Request-Id")].push_back({ server.id, std::string(exchange.path()), exchange.header("X-Tenant"), Clock::now(), m_version, leavingAnnouncedAt });
             ++server.running;
         } else
             mode = ServerMode::Full;
@@ -409,19 +409,19 @@
         std::rethrow_exception(failure);
 }
 
-asio::awaitable<void> UsersPlatform::answer(std::size_t, Exchange& exchange, ServerMode mode)
+asio::awaitable<void> FakePlatform::answer(std::size_t, Exchange& exchange, ServerMode mode)
 {
     auto id = exchange.header("X-Request-Id");
-    if (mode == ServerMode::Mixing)
+    if (mode == ServerMode::StrayResponses)
         id += "-other";
     exchange.setHeader("X-Request-Id", id);
     exchange.setHeader("X-Response-Stamp", "signed");
     if (mode == ServerMode::Silent)
-        co_await pause(silentFor);
+        co_await pause(silenceDuration);
     if (exchange.path().starts_with("/stream/"))
         co_return co_await stream(exchange, mode);
-    co_await pause(plainWork);
-    if (mode == ServerMode::LosingAnswers) {
+    co_await pause(plainRequestTime);
+    if (mode == ServerMode::DroppingResponses) {
         exchange.drop();
         co_return;
     }
@@ -429,16 +429,16 @@
     co_await exchange.reply(HttpStatus::ok, "text/plain", std::move(body));
 }
 
-asio::awaitable<void> UsersPlatform::stream(Exchange& exchange, ServerMode mode)
+asio::awaitable<void> FakePlatform::stream(Exchange& exchange, ServerMode mode)
 {
     auto id = exchange.header("X-Request-Id");
     auto last = exchange.header("Last-Event-Id");
     int first = last.empty() ? 1 : std::stoi(last) + 1;
     co_await exchange.startStream("text/event-stream");
-    for (int n = first; n <= eventsOfStream; ++n) {
-        co_await pause(mode == ServerMode::Stalling && n == first + 3 ? silentFor : eventEvery);
+    for (int n = first; n <= eventsPerStream; ++n) {
+        co_await pause(mode == ServerMode::Stalling && n == first + 3 ? silenceDuration : eventInterval);
         auto text = eventText(id, n);
-        bool isBroken = mode == ServerMode::LosingAnswers || (mode == ServerMode::BreakingStreams && n == first + 3);
+        bool isBroken = mode == ServerMode::DroppingResponses || (mode == ServerMode::TruncatingStreams && n == first + 3);
         if (isBroken) {
             co_await exchange.sendChunk(text.substr(0, text.size() / 2));
             exchange.drop();
--- a/test/soak/users-platform.h
+++ b/test/soak/fake-platform.h
@@ -28,7 +28,7 @@
 enum class StoreMode {
     Normal,
     /// Answers 503.
-    Refusing,
+    Unavailable,
     /// Takes calls and never answers.
     Silent,
 };
@@ -36,13 +36,13 @@
 enum class ServerMode {
     Normal,
     /// Runs requests and drops the connection instead of answering.
-    LosingAnswers,
+    DroppingResponses,
     /// Turns requests away without running them.
     Full,
     /// Breaks streams off in the middle of an event.
-    BreakingStreams,
+    TruncatingStreams,
     /// Sends the answer to another request before the right one.
-    Mixing,
+    StrayResponses,
     /// Runs requests and answers them only after a minute.
     Silent,
     /// Says nothing for a minute after the first events of a stream.
@@ -57,14 +57,14 @@
     TimePoint at;
     std::uint64_t configuration { 0 };
     /// When the server first answered that entry that it leaves, if it has.
-    std::optional<TimePoint> toldLeavingAt {};
+    std::optional<TimePoint> leavingAnnouncedAt {};
 };
 
-class UsersPlatform {
+class FakePlatform {
 public:
     /// `servers` of the one service, each of `slots`.
-    UsersPlatform(int servers, int slots);
-    ~UsersPlatform();
+    FakePlatform(int servers, int slots);
+    ~FakePlatform();
 
     std::string storeAddress() const { return m_storeAddress; }
     void setStoreMode(StoreMode mode) { m_storeMode = mode; }
@@ -72,13 +72,13 @@
     /// From now on the server names this many requests a second in its answers, or none.
     void setLimit(std::size_t server, std::optional<double> rate);
     /// From now on the server turns all requests away and asks for so long a rest, or does not any more.
-    void setRest(std::size_t server, std::optional<milliseconds> rest);
+    void setBackOff(std::size_t server, std::optional<milliseconds> backOff);
     /// The entry is killed, stopped, paused or back: it answers for no limit named, and no rest asked for, about then.
-    void excuseEntry(int entry);
+    void exemptEntry(int entry);
     /// A request id from which the stand-in learns through which entry a request comes. One without counts as of entry 0.
-    static std::string idThrough(const std::string& id, std::size_t entry);
+    static std::string requestIdVia(const std::string& id, std::size_t entry);
     /// What was broken of the limits that servers named and of the rests that they asked for; empty when nothing was.
-    std::vector<std::string> brokenRules() const;
+    std::vector<std::string> violations() const;
     /// Publishes a configuration in which `key` belongs to `organisation`; returns its version.
     std::uint64_t publish(const std::string& key, const std::string& organisation);
     /// The store as it is now, to come back from later.
@@ -86,8 +86,8 @@
     std::shared_ptr<const StoreCopy> copyStore() const;
     /// The store comes back from an older copy: its era rises, its revisions go back and are given out again. What the operator and
     /// the servers that live wrote since is written again after `rewriteAfter`; of servers that have gone meanwhile, what the copy
-    /// holds lapses after `lapseAfter`.
-    void restoreStore(const StoreCopy& copy, milliseconds rewriteAfter, milliseconds lapseAfter);
+    /// holds lapses after `expireAfter`.
+    void restoreStore(const StoreCopy& copy, milliseconds rewriteAfter, milliseconds expireAfter);
     /// The server leaves without a word in the list: its entry is removed. It serves on for a moment and says so in its answers; then
     /// a new one takes its place and its address.
     std::string leave(std::size_t server);
@@ -96,19 +96,19 @@
     std::size_t servers() const { return m_servers.size(); }
     std::string addressOf(std::size_t server) const { return m_servers[server].http ? m_servers[server].ownAddress : ""; }
     /// Lists the server at another address, such as that of a relay before it.
-    void listAt(std::size_t server, const std::string& address);
+    void setListedAddress(std::size_t server, const std::string& address);
 
     /// All runs so far, by request id.
     std::map<std::string, std::vector<Run>> runs() const;
     /// When each server that has left was listed as draining or removed.
     std::map<std::string, TimePoint> drainedAt() const;
     /// When each server, by its id, first answered each entry that it leaves.
-    std::map<std::string, std::map<int, TimePoint>> leavingSaidAt() const;
+    std::map<std::string, std::map<int, TimePoint>> leavingAnnouncedAt() const;
 
     /// What a server answers to a plain request, and the events of its streams.
     static std::string plainBody(const std::string& id);
-    static constexpr int eventsOfStream { 12 };
-    static std::string wholeStream(const std::string& id);
+    static constexpr int eventsPerStream { 12 };
+    static std::string completeStream(const std::string& id);
 
 private:
     struct Server {
@@ -122,12 +122,12 @@
         /// Its entry has been removed, or says that it drains.
         bool isLeaving { false };
         /// False for one that has left without a word: it writes no more.
-        bool writesEntry() const { return !isLeaving || state == "draining"; }
+        bool hasListEntry() const { return !isLeaving || state == "draining"; }
         int running { 0 };
         std::optional<double> limit;
-        test::LimitRule rule;
-        std::optional<milliseconds> rest;
-        test::RestRule restRule;
+        test::LimitRule limitRule;
+        std::optional<milliseconds> backOff;
+        test::RestRule backOffRule;
     };
     struct Item {
         std::string value;
@@ -141,11 +141,11 @@
     boost::asio::awaitable<void> answer(std::size_t index, standin::Exchange& exchange, ServerMode mode);
     boost::asio::awaitable<void> stream(standin::Exchange& exchange, ServerMode mode);
     void put(const std::string& key, const std::string& value);
-    void list(std::size_t index);
-    void endAfter(std::size_t index, const std::string& id, milliseconds time);
-    void after(milliseconds time, std::function<void()> action);
-    void writeAgain();
-    void lapseOthers();
+    void listServer(std::size_t index);
+    void replaceAfter(std::size_t index, const std::string& id, milliseconds time);
+    void runAfter(milliseconds time, std::function<void()> action);
+    void rewriteItems();
+    void expireStaleEntries();
     std::uint64_t era() const;
     std::uint64_t revision() const;
     std::string listBody(const std::string& prefix) const;
@@ -168,11 +168,11 @@
     int m_lastId { 0 };
     std::map<std::string, std::vector<Run>> m_runs;
     std::map<std::string, TimePoint> m_drainedAt;
-    std::map<std::string, std::map<int, TimePoint>> m_leavingSaidAt;
+    std::map<std::string, std::map<int, TimePoint>> m_leavingAnnouncedAt;
     std::thread m_thread;
 };
 
-struct UsersPlatform::StoreCopy {
+struct FakePlatform::StoreCopy {
     Items items;
     std::uint64_t revision { 0 };
 };
--- a/test/soak/soak.cc
+++ b/test/soak/soak.cc
@@ -17,21 +17,21 @@
 
 namespace {
 
-constexpr milliseconds answerWithin { 5000 };
+constexpr milliseconds responseTimeout { 5000 };
 /// Promises of the settings file and the store's stand-in, with room for a busy machine.
-constexpr milliseconds drainWithin { 3000 };
-constexpr milliseconds configurationWithin { 3500 };
-constexpr seconds stopWithin { 5 };
-constexpr seconds recoverWithin { 15 };
+constexpr milliseconds drainTimeout { 3000 };
+constexpr milliseconds configurationTimeout { 3500 };
+constexpr seconds stopTimeout { 5 };
+constexpr seconds recoveryTimeout { 15 };
 /// From the moment at which a server answers an entry that it leaves; the answer may be delayed on its way.
-constexpr milliseconds leaveWithin { 2500 };
+constexpr milliseconds leaveTimeout { 2500 };
 /// A client that was not served comes back after this long.
-constexpr milliseconds retryPause { 40 };
+constexpr milliseconds retryDelay { 40 };
 
 /// One connection of a client, used until it breaks.
-class KeptClient {
+class PersistentClient {
 public:
-    explicit KeptClient(const std::string& address)
+    explicit PersistentClient(const std::string& address)
         : m_endpoint(standin::parseEndpoint(address).value())
     {
     }
@@ -50,7 +50,7 @@
 private:
     asio::awaitable<void> perform(Outcome& outcome, bool& isKept)
     {
-        auto deadline = Clock::now() + answerWithin;
+        auto deadline = Clock::now() + responseTimeout;
         http::response_parser<http::string_body> parser;
         try {
             if (!m_stream) {
@@ -69,7 +69,7 @@
             request.prepare_payload();
             co_await http::async_write(*m_stream, request, asio::use_awaitable);
             co_await http::async_read(*m_stream, m_buffer, parser, asio::use_awaitable);
-            outcome.isWhole = true;
+            outcome.isComplete = true;
             isKept = parser.get().keep_alive();
         } catch (const boost::system::system_error&) {
             // What came is judged as it is.
@@ -97,14 +97,14 @@
     : m_options(options)
     , m_platform(options.servers, 8)
     , m_entries(static_cast<std::size_t>(options.entries))
-    , m_began(Clock::now())
+    , m_startedAt(Clock::now())
 {
     m_key = "key-0";
     m_platform.publish(m_key, "org-key-0");
     m_serverRelays.reserve(m_platform.servers());
     for (std::size_t n = 0; n < m_platform.servers(); ++n) {
         m_serverRelays.push_back(std::make_unique<process_test::Relay>(m_platform.addressOf(n)));
-        m_platform.listAt(n, m_serverRelays.back()->address());
+        m_platform.setListedAddress(n, m_serverRelays.back()->address());
     }
     auto loopback = [](int port) { return fmt::format("127.0.0.1:{}", port); };
     auto firstPeers = loopback(process_test::freePort());
@@ -135,10 +135,10 @@
     entry.process = process_test::ChildProcess::start({ m_options.program, "--config", entry.settings }, { .waitsForListening = false }).value();
 }
 
-void Soak::note(const std::string& text)
+void Soak::recordEvent(const std::string& text)
 {
     std::scoped_lock lock(m_mutex);
-    m_events.push_back(fmt::format("{:6} ms {}", std::chrono::duration_cast<milliseconds>(Clock::now() - m_began).count(), text));
+    m_events.push_back(fmt::format("{:6} ms {}", std::chrono::duration_cast<milliseconds>(Clock::now() - m_startedAt).count(), text));
 }
 
 std::string Soak::currentKey()
@@ -150,20 +150,20 @@
 void Soak::clientLoop(std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
-    std::vector<std::unique_ptr<KeptClient>> clients;
+    std::vector<std::unique_ptr<PersistentClient>> clients;
     clients.reserve(m_entries.size());
     for (auto& entry : m_entries)
-        clients.push_back(std::make_unique<KeptClient>(entry.clients));
+        clients.push_back(std::make_unique<PersistentClient>(entry.clients));
     constexpr const char* kinds[] = { "stream", "once", "safe" };
     std::string oldKey = currentKey();
-    for (int n = 0; !m_isOver; ++n) {
+    for (int n = 0; !m_isStopped; ++n) {
         Outcome outcome;
         outcome.kind = kinds[pick(random, 0, 2)];
         // Now and then a client goes on with a key that was valid when it began.
         outcome.key = pick(random, 0, 9) == 0 ? oldKey : currentKey();
         outcome.sentAt = Clock::now();
         auto entry = static_cast<std::size_t>(pick(random, 0, static_cast<int>(clients.size()) - 1));
-        outcome.id = UsersPlatform::idThrough(fmt::format("{}-{}", seed, n), entry);
+        outcome.id = FakePlatform::requestIdVia(fmt::format("{}-{}", seed, n), entry);
         clients[entry]->exchange(outcome);
         bool isServed = outcome.status == 200;
         {
@@ -171,7 +171,7 @@
             m_outcomes.push_back(std::move(outcome));
         }
         if (!isServed)
-            std::this_thread::sleep_for(retryPause);
+            std::this_thread::sleep_for(retryDelay);
     }
 }
 
@@ -179,52 +179,52 @@
 {
     auto& process = *m_entries[index].process;
     process.terminate();
-    auto status = process.waitForExit(Clock::now() + stopWithin + seconds(2));
+    auto status = process.waitForExit(Clock::now() + stopTimeout + seconds(2));
     if (status != 0)
-        m_broken.push_back(fmt::format("entry {} was told to stop and ended with {}, expected 0 within {} s", index, status ? *status : -1, stopWithin.count()));
+        m_violations.push_back(fmt::format("entry {} was told to stop and ended with {}, expected 0 within {} s", index, status ? *status : -1, stopTimeout.count()));
 }
 
-void Soak::disturbEntry(std::mt19937_64& random)
+void Soak::injectEntryFault(std::mt19937_64& random)
 {
     auto index = static_cast<std::size_t>(pick(random, 0, m_options.entries - 1));
     auto& entry = m_entries[index];
-    m_platform.excuseEntry(static_cast<int>(index));
+    m_platform.exemptEntry(static_cast<int>(index));
     switch (pick(random, 0, 3)) {
     case 0:
-        note(fmt::format("kill entry {}", index));
+        recordEvent(fmt::format("kill entry {}", index));
         entry.process->kill();
         startEntry(index);
         break;
     case 1:
-        note(fmt::format("stop entry {}", index));
+        recordEvent(fmt::format("stop entry {}", index));
         stopGracefully(index);
         startEntry(index);
         break;
     default:
-        note(fmt::format("pause entry {}", index));
+        recordEvent(fmt::format("pause entry {}", index));
         entry.process->pause();
         std::this_thread::sleep_for(milliseconds(pick(random, 50, 1500)));
-        m_platform.excuseEntry(static_cast<int>(index));
+        m_platform.exemptEntry(static_cast<int>(index));
         entry.process->resume();
     }
-    m_platform.excuseEntry(static_cast<int>(index));
+    m_platform.exemptEntry(static_cast<int>(index));
 }
 
-void Soak::disturbStore(std::mt19937_64& random)
+void Soak::injectStoreFault(std::mt19937_64& random)
 {
     Span span { Clock::now(), {} };
     auto& relay = *m_entries[static_cast<std::size_t>(pick(random, 0, m_options.entries - 1))].store;
-    auto what = pick(random, 0, 5);
-    note(fmt::format("store disturbed, kind {}", what));
-    if (what == 5)
-        return returnStore(random);
-    if (what == 0)
-        m_platform.setStoreMode(StoreMode::Refusing);
-    else if (what == 1)
+    auto kind = pick(random, 0, 5);
+    recordEvent(fmt::format("store disturbed, kind {}", kind));
+    if (kind == 5)
+        return restoreOldStore(random);
+    if (kind == 0)
+        m_platform.setStoreMode(StoreMode::Unavailable);
+    else if (kind == 1)
         m_platform.setStoreMode(StoreMode::Silent);
-    else if (what == 2)
+    else if (kind == 2)
         relay.silenceConnections();
-    else if (what == 3)
+    else if (kind == 3)
         relay.setRefusing(true);
     else
         relay.setDelay(milliseconds(pick(random, 20, 200)));
@@ -241,11 +241,11 @@
     relay.setDelay(milliseconds(0));
     span.end = Clock::now();
     std::scoped_lock lock(m_mutex);
-    m_storeDisturbances.push_back(span);
+    m_storeFaults.push_back(span);
 }
 
 /// The store is away for a moment and comes back from a copy some seconds old.
-void Soak::returnStore(std::mt19937_64& random)
+void Soak::restoreOldStore(std::mt19937_64& random)
 {
     auto copy = m_platform.copyStore();
     std::this_thread::sleep_for(milliseconds(pick(random, 200, 3000)));
@@ -255,46 +255,46 @@
     if (pick(random, 0, 1) == 0)
         m_platform.leave(static_cast<std::size_t>(pick(random, 0, m_options.servers - 1)));
     std::this_thread::sleep_for(milliseconds(pick(random, 0, 1000)));
-    constexpr milliseconds lapseAfter { 3000 };
-    m_platform.restoreStore(*copy, milliseconds(pick(random, 0, 1000)), lapseAfter);
+    constexpr milliseconds expireAfter { 3000 };
+    m_platform.restoreStore(*copy, milliseconds(pick(random, 0, 1000)), expireAfter);
     m_platform.setStoreMode(StoreMode::Normal);
-    note("store is back from a copy");
-    span.end = Clock::now() + lapseAfter;
+    recordEvent("store is back from a copy");
+    span.end = Clock::now() + expireAfter;
     std::scoped_lock lock(m_mutex);
-    m_storeDisturbances.push_back(span);
+    m_storeFaults.push_back(span);
 }
 
-void Soak::disturbServer(std::mt19937_64& random)
+void Soak::injectServerFault(std::mt19937_64& random)
 {
     auto index = static_cast<std::size_t>(pick(random, 0, m_options.servers - 1));
-    auto what = pick(random, 0, 8);
-    note(fmt::format("server {} disturbed, kind {}", index, what));
-    if (what < 4) {
-        constexpr ServerMode modes[] = { ServerMode::LosingAnswers, ServerMode::Full, ServerMode::BreakingStreams, ServerMode::Mixing };
-        m_platform.setServerMode(index, modes[what]);
+    auto kind = pick(random, 0, 8);
+    recordEvent(fmt::format("server {} disturbed, kind {}", index, kind));
+    if (kind < 4) {
+        constexpr ServerMode modes[] = { ServerMode::DroppingResponses, ServerMode::Full, ServerMode::TruncatingStreams, ServerMode::StrayResponses };
+        m_platform.setServerMode(index, modes[kind]);
         std::this_thread::sleep_for(milliseconds(pick(random, 100, 800)));
         m_platform.setServerMode(index, ServerMode::Normal);
-    } else if (what == 4)
+    } else if (kind == 4)
         m_serverRelays[index]->cutConnections();
-    else if (what == 5)
+    else if (kind == 5)
         m_serverRelays[index]->silenceConnections();
-    else if (what == 6) {
+    else if (kind == 6) {
         m_serverRelays[index]->setDelay(milliseconds(pick(random, 10, 150)));
         std::this_thread::sleep_for(milliseconds(pick(random, 100, 800)));
         m_serverRelays[index]->setDelay(milliseconds(0));
-    } else if (what == 7)
+    } else if (kind == 7)
         m_platform.drain(index);
     else
         m_platform.leave(index);
 }
 
 /// A server names a limit, and another one a while later.
-void Soak::limitServer(std::mt19937_64& random)
+void Soak::injectLimit(std::mt19937_64& random)
 {
     auto index = static_cast<std::size_t>(pick(random, 0, m_options.servers - 1));
     for (int n = 0; n < 2; ++n) {
         auto rate = 0.5 * pick(random, 0, 8);
-        note(fmt::format("server {} limited to {} a second", index, rate));
+        recordEvent(fmt::format("server {} limited to {} a second", index, rate));
         m_platform.setLimit(index, rate);
         std::this_thread::sleep_for(milliseconds(pick(random, 500, 5000)));
     }
@@ -302,31 +302,31 @@
 }
 
 /// A server turns requests away and asks for rest, or all of them do.
-void Soak::restServers(std::mt19937_64& random)
+void Soak::injectBackOff(std::mt19937_64& random)
 {
-    bool isAll = pick(random, 0, 3) == 0;
+    bool isEveryServer = pick(random, 0, 3) == 0;
     auto only = static_cast<std::size_t>(pick(random, 0, m_options.servers - 1));
-    auto rest = milliseconds(pick(random, 0, 30) * 100);
-    note(fmt::format("{} turns requests away and asks for {} ms of rest", isAll ? "every server" : fmt::format("server {}", only), rest.count()));
-    auto setRest = [&](std::optional<milliseconds> time) {
+    auto backOff = milliseconds(pick(random, 0, 30) * 100);
+    recordEvent(fmt::format("{} turns requests away and asks for {} ms of rest", isEveryServer ? "every server" : fmt::format("server {}", only), backOff.count()));
+    auto applyBackOff = [&](std::optional<milliseconds> time) {
         for (std::size_t n = 0; n < m_platform.servers(); ++n) {
-            if (isAll || n == only)
-                m_platform.setRest(n, time);
+            if (isEveryServer || n == only)
+                m_platform.setBackOff(n, time);
         }
     };
-    setRest(rest);
-    std::this_thread::sleep_for(milliseconds(isAll ? pick(random, 100, 600) : pick(random, 300, 3000)));
-    setRest(std::nullopt);
+    applyBackOff(backOff);
+    std::this_thread::sleep_for(milliseconds(isEveryServer ? pick(random, 100, 600) : pick(random, 300, 3000)));
+    applyBackOff(std::nullopt);
     std::this_thread::sleep_for(milliseconds(pick(random, 200, 2000)));
 }
 
-bool Soak::servesAgain()
+bool Soak::waitUntilServing()
 {
-    return process_test::waitUntil(Clock::now() + recoverWithin, [&] {
+    return process_test::waitUntil(Clock::now() + recoveryTimeout, [&] {
         m_notServing.clear();
         for (std::size_t n = 0; n < m_entries.size(); ++n) {
-            Outcome outcome { UsersPlatform::idThrough(fmt::format("last-{}", Clock::now().time_since_epoch().count()), n), "safe", currentKey(), Clock::now() };
-            KeptClient(m_entries[n].clients).exchange(outcome);
+            Outcome outcome { FakePlatform::requestIdVia(fmt::format("last-{}", Clock::now().time_since_epoch().count()), n), "safe", currentKey(), Clock::now() };
+            PersistentClient(m_entries[n].clients).exchange(outcome);
             if (outcome.status != 200)
                 m_notServing += fmt::format(" {} ({} {})", n, outcome.status, outcome.body.substr(0, outcome.body.find('\n')));
         }
@@ -338,7 +338,7 @@
 {
     for (std::size_t n = 0; n < m_entries.size(); ++n)
         startEntry(n);
-    if (!servesAgain())
+    if (!waitUntilServing())
         return { "the entries did not begin to serve" };
     std::vector<std::thread> clients;
     clients.reserve(static_cast<std::size_t>(m_options.clients));
@@ -346,26 +346,26 @@
         clients.emplace_back([this, n] { clientLoop(m_options.seed * 1000 + static_cast<std::uint64_t>(n)); });
     // Two at a time, so that faults overlap.
     auto end = Clock::now() + m_options.length;
-    auto disturbUntilEnd = [&](std::uint64_t seed, void (Soak::*fault)(std::mt19937_64&)) {
+    auto injectUntilEnd = [&](std::uint64_t seed, void (Soak::*fault)(std::mt19937_64&)) {
         std::mt19937_64 random(seed);
         while (Clock::now() < end) {
             (this->*fault)(random);
             std::this_thread::sleep_for(milliseconds(pick(random, 50, 700)));
         }
     };
-    std::thread second([&] { disturbUntilEnd(m_options.seed * 2 + 1, &Soak::disturbServer); });
-    std::thread third([&] { disturbUntilEnd(m_options.seed * 2 + 2, &Soak::disturbStore); });
-    std::thread fourth([&] { disturbUntilEnd(m_options.seed * 2 + 3, &Soak::limitServer); });
-    std::thread fifth([&] { disturbUntilEnd(m_options.seed * 2 + 4, &Soak::restServers); });
-    disturbUntilEnd(m_options.seed * 2, &Soak::disturbEntry);
+    std::thread second([&] { injectUntilEnd(m_options.seed * 2 + 1, &Soak::injectServerFault); });
+    std::thread third([&] { injectUntilEnd(m_options.seed * 2 + 2, &Soak::injectStoreFault); });
+    std::thread fourth([&] { injectUntilEnd(m_options.seed * 2 + 3, &Soak::injectLimit); });
+    std::thread fifth([&] { injectUntilEnd(m_options.seed * 2 + 4, &Soak::injectBackOff); });
+    injectUntilEnd(m_options.seed * 2, &Soak::injectEntryFault);
     second.join();
     third.join();
     fourth.join();
     fifth.join();
-    note("calm");
-    if (!servesAgain())
-        m_broken.push_back(fmt::format("{} s after all faults had ended entries did not answer 200:{}", recoverWithin.count(), m_notServing));
-    m_isOver = true;
+    recordEvent("calm");
+    if (!waitUntilServing())
+        m_violations.push_back(fmt::format("{} s after all faults had ended entries did not answer 200:{}", recoveryTimeout.count(), m_notServing));
+    m_isStopped = true;
     for (auto& client : clients)
         client.join();
     for (std::size_t n = 0; n < m_entries.size(); ++n)
@@ -375,80 +375,80 @@
 
 std::size_t Soak::served() const
 {
-    return static_cast<std::size_t>(std::count_if(m_outcomes.begin(), m_outcomes.end(), [](auto& it) { return it.status == 200 && it.isWhole; }));
+    return static_cast<std::size_t>(std::count_if(m_outcomes.begin(), m_outcomes.end(), [](auto& it) { return it.status == 200 && it.isComplete; }));
 }
 
-bool Soak::wasStoreDisturbed(TimePoint from, TimePoint to) const
+bool Soak::wasStoreFaulty(TimePoint from, TimePoint to) const
 {
-    return std::any_of(m_storeDisturbances.begin(), m_storeDisturbances.end(), [&](auto& span) { return span.begin <= to && span.end + seconds(2) >= from; });
+    return std::any_of(m_storeFaults.begin(), m_storeFaults.end(), [&](auto& span) { return span.begin <= to && span.end + seconds(2) >= from; });
 }
 
-void Soak::checkRuns(const Outcome& outcome, const std::vector<Run>& runs, std::vector<std::string>& broken) const
+void Soak::checkRuns(const Outcome& outcome, const std::vector<Run>& runs, std::vector<std::string>& violations) const
 {
-    auto say = [&](const std::string& text) { broken.push_back(fmt::format("{} request {}: {}", outcome.kind, outcome.id, text)); };
+    auto report = [&](const std::string& text) { violations.push_back(fmt::format("{} request {}: {}", outcome.kind, outcome.id, text)); };
     if (outcome.kind == "once" && runs.size() > 1)
-        say(fmt::format("ran {} times, expected once at most", runs.size()));
-    bool isPromise = outcome.status == 503 || outcome.status == 429 || outcome.status == 401;
-    if (isPromise && !runs.empty())
-        say(fmt::format("was answered {} and ran at {}, expected no run", outcome.status, runs.front().server));
+        report(fmt::format("ran {} times, expected once at most", runs.size()));
+    bool isPromisedNotRun = outcome.status == 503 || outcome.status == 429 || outcome.status == 401;
+    if (isPromisedNotRun && !runs.empty())
+        report(fmt::format("was answered {} and ran at {}, expected no run", outcome.status, runs.front().server));
     for (auto& run : runs) {
         if (run.organisation != "org-" + outcome.key)
-            say(fmt::format("ran for '{}', expected 'org-{}'", run.organisation, outcome.key));
+            report(fmt::format("ran for '{}', expected 'org-{}'", run.organisation, outcome.key));
         auto revoked = m_revokedAt.find(outcome.key);
-        bool isLate = revoked != m_revokedAt.end() && outcome.sentAt > revoked->second + configurationWithin;
-        if (isLate && !wasStoreDisturbed(revoked->second, outcome.sentAt))
-            say(fmt::format("ran {} ms after its key was revoked", std::chrono::duration_cast<milliseconds>(outcome.sentAt - revoked->second).count()));
+        bool isLate = revoked != m_revokedAt.end() && outcome.sentAt > revoked->second + configurationTimeout;
+        if (isLate && !wasStoreFaulty(revoked->second, outcome.sentAt))
+            report(fmt::format("ran {} ms after its key was revoked", std::chrono::duration_cast<milliseconds>(outcome.sentAt - revoked->second).count()));
     }
 }
 
-void Soak::checkBody(const Outcome& outcome, std::vector<std::string>& broken) const
+void Soak::checkBody(const Outcome& outcome, std::vector<std::string>& violations) const
 {
     if (outcome.status != 200)
         return;
-    auto expected = outcome.kind == "stream" ? UsersPlatform::wholeStream(outcome.id) : UsersPlatform::plainBody(outcome.id);
-    bool isGood = outcome.isWhole ? outcome.body == expected : expected.starts_with(outcome.body);
-    if (!isGood)
-        broken.push_back(fmt::format("{} request {}: a {} answer was '{}', expected '{}'", outcome.kind, outcome.id, outcome.isWhole ? "whole" : "cut", outcome.body, expected));
+    auto expected = outcome.kind == "stream" ? FakePlatform::completeStream(outcome.id) : FakePlatform::plainBody(outcome.id);
+    bool isExpected = outcome.isComplete ? outcome.body == expected : expected.starts_with(outcome.body);
+    if (!isExpected)
+        violations.push_back(fmt::format("{} request {}: a {} answer was '{}', expected '{}'", outcome.kind, outcome.id, outcome.isComplete ? "whole" : "cut", outcome.body, expected));
 }
 
-void Soak::checkDrains(std::vector<std::string>& broken) const
+void Soak::checkDrains(std::vector<std::string>& violations) const
 {
     auto drained = m_platform.drainedAt();
     for (auto& [id, runs] : m_platform.runs()) {
         for (auto& run : runs) {
             auto it = drained.find(run.server);
-            if (it == drained.end() || run.at <= it->second + drainWithin || wasStoreDisturbed(it->second, run.at))
+            if (it == drained.end() || run.at <= it->second + drainTimeout || wasStoreFaulty(it->second, run.at))
                 continue;
-            broken.push_back(fmt::format("request {} reached {} {} ms after it was told to go", id, run.server, std::chrono::duration_cast<milliseconds>(run.at - it->second).count()));
+            violations.push_back(fmt::format("request {} reached {} {} ms after it was told to go", id, run.server, std::chrono::duration_cast<milliseconds>(run.at - it->second).count()));
         }
     }
 }
 
 /// The list's silence and the store's returns excuse nothing here.
-void Soak::checkLeaving(const Outcome& outcome, const std::vector<Run>& runs, std::vector<std::string>& broken) const
+void Soak::checkLeaving(const Outcome& outcome, const std::vector<Run>& runs, std::vector<std::string>& violations) const
 {
     for (auto& run : runs) {
-        if (run.toldLeavingAt && outcome.sentAt > *run.toldLeavingAt + leaveWithin)
-            broken.push_back(fmt::format("request {} reached {} {} ms after the entry had been told there that it leaves", outcome.id, run.server,
-                std::chrono::duration_cast<milliseconds>(run.at - *run.toldLeavingAt).count()));
+        if (run.leavingAnnouncedAt && outcome.sentAt > *run.leavingAnnouncedAt + leaveTimeout)
+            violations.push_back(fmt::format("request {} reached {} {} ms after the entry had been told there that it leaves", outcome.id, run.server,
+                std::chrono::duration_cast<milliseconds>(run.at - *run.leavingAnnouncedAt).count()));
     }
 }
 
 std::vector<std::string> Soak::check()
 {
-    auto broken = m_broken;
+    auto violations = m_violations;
     auto runs = m_platform.runs();
     for (auto& outcome : m_outcomes) {
-        checkRuns(outcome, runs[outcome.id], broken);
-        checkBody(outcome, broken);
-        checkLeaving(outcome, runs[outcome.id], broken);
+        checkRuns(outcome, runs[outcome.id], violations);
+        checkBody(outcome, violations);
+        checkLeaving(outcome, runs[outcome.id], violations);
     }
-    checkDrains(broken);
-    auto limits = m_platform.brokenRules();
-    broken.insert(broken.end(), limits.begin(), limits.end());
+    checkDrains(violations);
+    auto limits = m_platform.violations();
+    violations.insert(violations.end(), limits.begin(), limits.end());
     if (served() * 4 < m_outcomes.size())
-        broken.push_back(fmt::format("{} of {} requests were served, expected a quarter at least", served(), m_outcomes.size()));
-    return broken;
+        violations.push_back(fmt::format("{} of {} requests were served, expected a quarter at least", served(), m_outcomes.size()));
+    return violations;
 }
 
 } // namespace swiftloft::soak
--- a/test/soak/soak.h
+++ b/test/soak/soak.h
@@ -2,7 +2,7 @@
 
 #include "test/process/process-harness.h"
 #include "test/process/relay.h"
-#include "test/soak/users-platform.h"
+#include "test/soak/fake-platform.h"
 
 #include <atomic>
 #include <map>
@@ -36,7 +36,7 @@
     TimePoint sentAt;
     /// 0 when no answer came.
     unsigned status { 0 };
-    bool isWhole { false };
+    bool isComplete { false };
     std::string body;
 };
 
@@ -66,42 +66,42 @@
     };
 
     void startEntry(std::size_t index);
-    void note(const std::string& text);
+    void recordEvent(const std::string& text);
     void clientLoop(std::uint64_t seed);
-    void disturbEntry(std::mt19937_64& random);
-    void disturbStore(std::mt19937_64& random);
-    void returnStore(std::mt19937_64& random);
-    void disturbServer(std::mt19937_64& random);
-    void limitServer(std::mt19937_64& random);
-    void restServers(std::mt19937_64& random);
+    void injectEntryFault(std::mt19937_64& random);
+    void injectStoreFault(std::mt19937_64& random);
+    void restoreOldStore(std::mt19937_64& random);
+    void injectServerFault(std::mt19937_64& random);
+    void injectLimit(std::mt19937_64& random);
+    void injectBackOff(std::mt19937_64& random);
     void calm();
     void stopGracefully(std::size_t index);
-    bool servesAgain();
+    bool waitUntilServing();
     std::vector<std::string> check();
-    void checkRuns(const Outcome& outcome, const std::vector<Run>& runs, std::vector<std::string>& broken) const;
-    void checkBody(const Outcome& outcome, std::vector<std::string>& broken) const;
-    void checkLeaving(const Outcome& outcome, const std::vector<Run>& runs, std::vector<std::string>& broken) const;
-    void checkDrains(std::vector<std::string>& broken) const;
-    bool wasStoreDisturbed(TimePoint from, TimePoint to) const;
+    void checkRuns(const Outcome& outcome, const std::vector<Run>& runs, std::vector<std::string>& violations) const;
+    void checkBody(const Outcome& outcome, std::vector<std::string>& violations) const;
+    void checkLeaving(const Outcome& outcome, const std::vector<Run>& runs, std::vector<std::string>& violations) const;
+    void checkDrains(std::vector<std::string>& violations) const;
+    bool wasStoreFaulty(TimePoint from, TimePoint to) const;
     std::string currentKey();
 
     SoakOptions m_options;
     process_test::TemporaryFolder m_folder;
-    UsersPlatform m_platform;
+    FakePlatform m_platform;
     std::vector<std::unique_ptr<process_test::Relay>> m_serverRelays;
     std::vector<Entry> m_entries;
-    std::atomic<bool> m_isOver { false };
+    std::atomic<bool> m_isStopped { false };
     mutable std::mutex m_mutex;
     std::vector<Outcome> m_outcomes;
     std::vector<std::string> m_events;
     std::string m_key;
     /// When each key ceased to be valid.
     std::map<std::string, TimePoint> m_revokedAt;
-    std::vector<Span> m_storeDisturbances;
-    std::vector<std::string> m_broken;
+    std::vector<Span> m_storeFaults;
+    std::vector<std::string> m_violations;
     /// Entries that did not answer when all were asked last, with the status and the first line of what came.
     std::string m_notServing;
-    TimePoint m_began;
+    TimePoint m_startedAt;
     int m_lastKey { 0 };
 };
 
--- a/test/upstream_test.cc
+++ b/test/upstream-pool_test.cc
@@ -1,4 +1,4 @@
-#include "src/gateway/upstream.h"
+#include "src/gateway/upstream-pool.h"
 
 #include <catch2/catch.hpp>
 
@@ -11,13 +11,13 @@
     auto entries = GENERATE(1U, 7U, 30U, 150U, 670U);
     auto maximum = GENERATE(1U, 49U, 96U, 248U);
     auto slots = GENERATE(1U, 6U, 12U);
-    auto kept = idleConnectionsFor(maximum, slots, entries);
+    auto kept = idleConnectionLimit(maximum, slots, entries);
     INFO(entries << " entries, " << maximum << " connections, " << slots << " slots, " << kept << " idle each");
     CHECK(kept * entries + std::min(slots, maximum) <= maximum);
-    CHECK(kept <= UpstreamPool::mostIdlePerServer);
+    CHECK(kept <= UpstreamPool::maxIdlePerServer);
 }
 
 TEST_CASE("Upstream: a server that names no maximum bounds nothing")
 {
-    CHECK(idleConnectionsFor(0, 6, 150) == UpstreamPool::mostIdlePerServer);
+    CHECK(idleConnectionLimit(0, 6, 150) == UpstreamPool::maxIdlePerServer);
 }
