--- a/bench/policy-cost.cc
+++ b/bench/policy-cost.cc
@@ -1,10 +1,10 @@
 // Prints what one request costs in decisions at several fleet sizes, part by part, and the slopes.
 #include <swiftloft/policy/admission-queue.h>
-#include <swiftloft/policy/claim-desk.h>
+#include <swiftloft/policy/claim-table.h>
 #include <swiftloft/policy/crash-quarantine.h>
 #include <swiftloft/policy/dedup-table.h>
+#include <swiftloft/policy/home-selector.h>
 #include <swiftloft/policy/organisation-limits.h>
-#include <swiftloft/policy/request-home.h>
 #include <swiftloft/policy/retry-policy.h>
 #include <swiftloft/policy/router.h>
 
@@ -81,7 +81,7 @@
     double routing(std::size_t calls)
     {
         return nanosecondsPer(calls, [&](std::size_t i) {
-            RouteRequest request { .prefix = m_prefixes[i * 31 % prefixes], .promptTokens = Tokens(2000), .expectedOutput = Tokens(200), .isRepeatable = true, .tried = {} };
+            RouteRequest request { .prefix = m_prefixes[i * 31 % prefixes], .promptTokens = Tokens(2000), .expectedOutput = Tokens(200), .isRepeatable = true, .triedServers = {} };
             auto choice = m_router.choose(request, advance(), m_generator);
             m_router.onStart(*choice, request, m_now);
             m_open.push_back(*choice);
@@ -108,7 +108,7 @@
         std::vector<BackendServerId> ids;
         for (std::size_t i = 0; i < m_size.servers; ++i)
             ids.emplace_back(fmt::format("engine-{}", i));
-        m_homes.onList(ListRevision(1), ids, m_now);
+        m_homes.onAgentList(ListRevision(1), ids, m_now);
         return nanosecondsPer(calls, [&](std::size_t i) {
             m_homes.homesOf({ m_names[i % m_names.size()], RequestKey(fmt::format("key-{}", i)) }, m_now);
         });
@@ -122,7 +122,7 @@
         std::vector<InstanceId> entries;
         for (std::size_t i = 0; i < m_size.entries; ++i)
             entries.emplace_back(fmt::format("entry-{}", i));
-        m_limits.onList(entries, m_now);
+        m_limits.onInstanceList(entries, m_now);
         for (std::size_t i = 0; i < m_size.organisations; ++i) {
             m_names.emplace_back(fmt::format("organisation-{}", i));
             m_limits.setLimit(m_names.back(), { .requestsPerSecond = 1e9, .tokensPerSecond = 1e9 }, m_now);
@@ -167,7 +167,7 @@
     std::deque<RouteChoice> m_open;
     CrashQuarantine m_quarantine = CrashQuarantine::create({}).value();
     RetryBudget m_budget = RetryBudget::create({}).value();
-    RequestHome m_homes = RequestHome::create({}).value();
+    HomeSelector m_homes = HomeSelector::create({}).value();
 };
 
 /// A key's homes when its slot is asked for the first time under a list, in microseconds.
@@ -176,8 +176,8 @@
     std::vector<BackendServerId> ids;
     for (std::size_t i = 0; i < servers; ++i)
         ids.emplace_back(fmt::format("engine-{}", i));
-    auto homes = RequestHome::create({}).value();
-    homes.onList(ListRevision(1), ids, TimePoint {});
+    auto homes = HomeSelector::create({}).value();
+    homes.onAgentList(ListRevision(1), ids, TimePoint {});
     std::size_t serial = 0;
     // Few enough that nearly every call meets a new slot.
     return nanosecondsPer(50, [&](std::size_t) { homes.homesOf({ OrganisationName("a"), RequestKey(std::to_string(++serial)) }, TimePoint {}); }) / 1000;
--- a/bench/policy-lending.cc
+++ b/bench/policy-lending.cc
@@ -46,7 +46,7 @@
         for (auto& name : names) {
             m_entries.push_back(std::make_unique<OrganisationLimits>(OrganisationLimits::create({}, name, Incarnation(1), start).value()));
             m_entries.back()->setLimit(organisation, { .tokensPerSecond = settings.rate }, start);
-            m_entries.back()->onList(names, start);
+            m_entries.back()->onInstanceList(names, start);
         }
     }
 
--- a/bench/policy-routing.cc
+++ b/bench/policy-routing.cc
@@ -243,7 +243,7 @@
     held->prefilling.resize(settings.servers);
     EntryPolicy policy;
     policy.choose = [=, &events](const TraceRequest& it) {
-        RouteRequest request { .prefix = it.prefix, .promptTokens = Tokens(it.promptTokens), .expectedOutput = Tokens(outputCharge), .isRepeatable = true, .tried = {} };
+        RouteRequest request { .prefix = it.prefix, .promptTokens = Tokens(it.promptTokens), .expectedOutput = Tokens(outputCharge), .isRepeatable = true, .triedServers = {} };
         auto choice = held->router.choose(request, events.now(), held->generator).value();
         held->router.onStart(choice, request, events.now());
         held->prefilling[choice.server.slot].push_back(choice);
--- a/include/swiftloft/policy/admission-queue.h
+++ b/include/swiftloft/policy/admission-queue.h
@@ -106,7 +106,7 @@
     /// Weight 1 until set. Weights at or below zero count as the smallest allowed one.
     void setWeight(const OrganisationName& organisation, double weight);
     /// Drops an organisation that left the settings, once it has nothing waiting.
-    void forget(const OrganisationName& organisation);
+    void removeOrganisation(const OrganisationName& organisation);
 
     /// How long a request of the organisation would wait now.
     microseconds expectedWait(const OrganisationName& organisation, Priority priority) const;
--- a/include/swiftloft/policy/backoff.h
+++ b/include/swiftloft/policy/backoff.h
@@ -35,7 +35,7 @@
     seconds minimum { 1 };
     seconds maximum { 60 };
     /// The answer is drawn from the estimate up to the estimate times one plus this.
-    double spread { 0.5 };
+    double jitter { 0.5 };
 };
 
 /// Whole seconds for a `Retry-After` header: from `now` until `expectedFree`, never less, plus jitter so that refused
--- a/include/swiftloft/policy/claim-protocol.h
+++ b/include/swiftloft/policy/claim-protocol.h
@@ -75,11 +75,11 @@
     };
 
     ClaimEffects claimNext();
-    ClaimEffects giveUp(ClaimEffect last);
+    ClaimEffects abortClaim(ClaimEffect last);
 
     ClaimRequest m_request;
     std::vector<BackendServerId> m_homes;
-    std::size_t m_asking { 0 };
+    std::size_t m_currentHome { 0 };
     Incarnation m_runnerIncarnation;
     State m_state { State::Claiming };
 };
--- a/include/swiftloft/policy/claim-desk.h
+++ b/include/swiftloft/policy/claim-table.h
@@ -11,7 +11,7 @@
 
 namespace swiftloft::policy {
 
-struct ClaimDeskOptions {
+struct ClaimTableOptions {
     /// How long after its first use a key is kept from running again. What the service promises its clients.
     seconds retention { 600 };
     /// How long a granted claim may wait for its run.
@@ -21,19 +21,19 @@
     std::size_t capacity { 65536 };
     /// Refuse claims until nothing that a predecessor granted can matter any more. Off only where it is known that
     /// there was none: on the first start of a fleet.
-    bool refusesWhileYoung { true };
+    bool hasStartupGracePeriod { true };
 };
 
 /// An agent's memory of client keys: who holds each, and what became of it.
 ///
 /// The agent grants a key to one claim at a time and runs it only for the claim it granted. Keys are never dropped for
 /// lack of room: a full desk refuses.
-class ClaimDesk {
+class ClaimTable {
 public:
-    static Result<ClaimDesk> create(ClaimDeskOptions options, Incarnation self, TimePoint now);
+    static Result<ClaimTable> create(ClaimTableOptions options, Incarnation self, TimePoint now);
 
     /// The agent learned of an instance list, from the platform or from a peer.
-    void onList(ListRevision revision, TimePoint now);
+    void onListRevision(ListRevision revision, TimePoint now);
     ClaimReply onClaim(const ClaimRequest& request, TimePoint now);
     /// The claiming entry gives up before it ran the request.
     void onRelease(const ClientKey& key, const ClaimId& claim);
@@ -58,29 +58,29 @@
         BackendServerId runner;
         Phase phase { Phase::Claimed };
         Verdict verdict { Verdict::MayHaveRun };
-        TimePoint runBefore;
-        TimePoint forgetAt;
+        TimePoint leaseExpiresAt;
+        TimePoint expiresAt;
     };
     struct KnownList {
         ListRevision revision;
         TimePoint learnedAt;
     };
-    struct Forgetting {
-        TimePoint at;
+    struct Expiry {
+        TimePoint expiresAt;
         ClientKey key;
     };
 
-    ClaimDesk(ClaimDeskOptions options, Incarnation self, TimePoint now);
+    ClaimTable(ClaimTableOptions options, Incarnation self, TimePoint now);
     bool isStale(ListRevision revision, TimePoint now) const;
-    std::optional<ClaimAnswer> reasonToRefuse(const ClaimRequest& request, TimePoint now) const;
+    std::optional<ClaimAnswer> refusalReason(const ClaimRequest& request, TimePoint now) const;
 
-    ClaimDeskOptions m_options;
+    ClaimTableOptions m_options;
     Incarnation m_self;
-    TimePoint m_grantsFrom;
+    TimePoint m_gracePeriodEndsAt;
     /// Rising revisions; the last is the newest known.
     std::deque<KnownList> m_lists;
     std::unordered_map<ClientKey, Record> m_records;
-    std::deque<Forgetting> m_forgetting;
+    std::deque<Expiry> m_expiries;
 };
 
 } // namespace swiftloft::policy
--- a/include/swiftloft/policy/crash-quarantine.h
+++ b/include/swiftloft/policy/crash-quarantine.h
@@ -23,7 +23,7 @@
 
 /// The server that runs a suspect: the same at every entry that sees the same candidates, so that all copies of one
 /// suspect meet at one agent, which runs one at a time. Linear in the candidates; suspects are rare.
-std::optional<BackendServerId> suspectServer(Fingerprint fingerprint, std::span<const BackendServerId> candidates);
+std::optional<BackendServerId> isolationServer(Fingerprint fingerprint, std::span<const BackendServerId> candidates);
 
 /// What was in flight on a backend server when it crashed.
 struct CrashReport {
@@ -64,8 +64,8 @@
 
 struct CrashQuarantineOptions {
     /// How long one crash keeps its suspects; a second crash within that time convicts.
-    seconds suspicion { 600 };
-    seconds conviction { 3600 };
+    seconds suspicionPeriod { 600 };
+    seconds quarantinePeriod { 3600 };
     std::size_t capacity { 4096 };
     /// News that has passed through more nodes is dropped. Far more than any spread needs.
     std::uint32_t maximumHops { 16 };
@@ -112,9 +112,9 @@
     using Records = boost::unordered_flat_map<Fingerprint, Record, std::hash<Fingerprint>>;
 
     explicit CrashQuarantine(CrashQuarantineOptions options);
-    bool learn(Fingerprint fingerprint, Crash crash, TimePoint now);
-    void makeRoom(TimePoint now);
-    void extendConviction(Record& record, TimePoint now) const;
+    bool merge(Fingerprint fingerprint, Crash crash, TimePoint now);
+    void evictToCapacity(TimePoint now);
+    void extendQuarantine(Record& record, TimePoint now) const;
     SuspicionMessage messageOf(Fingerprint fingerprint, const Crash& crash, TimePoint now) const;
 
     CrashQuarantineOptions m_options;
--- a/include/swiftloft/policy/fleet-share.h
+++ b/include/swiftloft/policy/fleet-share.h
@@ -9,18 +9,18 @@
 namespace swiftloft::policy {
 
 /// What an entry does when it has not read the instance list for long.
-enum class StaleList {
+enum class StaleListPolicy {
     /// Goes on with the share it has. The platform being down stops nobody; an entry that the list has dropped, and
     /// that can neither read the list nor be stopped, goes on too.
-    Hold,
+    KeepShare,
     /// Gives its share up. The sum is kept even then; an outage of the list refuses all limited traffic.
-    Surrender,
+    ReleaseShare,
 };
 
 struct FleetShareOptions {
     /// A larger share is used only when every list read in this time allows it. At least the longest lag of the list.
     milliseconds window { 30000 };
-    StaleList staleList { StaleList::Hold };
+    StaleListPolicy staleListPolicy { StaleListPolicy::KeepShare };
     /// With `Surrender`: the age of the last read at which the share is given up. At most the window less the longest
     /// lag, since the others grow a window after this entry was dropped.
     milliseconds staleAfter { 15000 };
@@ -42,33 +42,33 @@
     static Result<FleetShare> create(FleetShareOptions options, TimePoint now);
 
     /// The list was read, changed or not: it has `size` entry instances and names this one or not.
-    void onList(std::size_t size, bool containsSelf, TimePoint now);
+    void onInstanceList(std::size_t size, bool containsSelf, TimePoint now);
     /// Share of the limit in use at `now`, from 0 to 1.
     double at(TimePoint now);
     /// Time integral of the share in seconds since creation; what a limit of one unit a second has yielded here.
-    double yieldUntil(TimePoint now);
+    double integralUntil(TimePoint now);
 
 private:
     /// A stretch in which the lists read had at most this size.
-    struct Stretch {
+    struct Interval {
         std::size_t size;
         /// When a smaller list replaced it; the end of time for the current one.
         TimePoint end;
     };
 
     FleetShare(FleetShareOptions options, TimePoint now);
-    TimePoint leavesWindowAt(const Stretch& stretch) const;
-    TimePoint surrenderAt() const;
-    double shareOf(const Stretch& stretch) const;
+    TimePoint leavesWindowAt(const Interval& interval) const;
+    TimePoint shareExpiresAt() const;
+    double shareOf(const Interval& interval) const;
     void integrateUntil(TimePoint end);
     void advance(TimePoint now);
 
     FleetShareOptions m_options;
     /// Sizes fall from front to back, ends rise: the front is the largest in the window.
-    std::deque<Stretch> m_stretches;
-    TimePoint m_lastRead;
+    std::deque<Interval> m_intervals;
+    TimePoint m_lastReadAt;
     TimePoint m_integratedUntil;
-    double m_yield { 0 };
+    double m_integral { 0 };
 };
 
 } // namespace swiftloft::policy
--- a/include/swiftloft/policy/request-home.h
+++ b/include/swiftloft/policy/home-selector.h
@@ -10,9 +10,9 @@
 
 namespace swiftloft::policy {
 
-struct RequestHomeOptions {
+struct HomeSelectorOptions {
     /// Homes of a key under one list. Two lists can differ in all but one of them and no key runs twice.
-    std::size_t homes { 3 };
+    std::size_t homesPerKey { 3 };
     /// Lists replaced within this time count beside the current one.
     milliseconds window { 30000 };
 };
@@ -21,12 +21,12 @@
 ///
 /// Keys fall into a fixed number of slots; a slot's homes are worked out once for each list, so that the cost of a
 /// request does not grow with the fleet.
-class RequestHome {
+class HomeSelector {
 public:
-    static Result<RequestHome> create(RequestHomeOptions options);
+    static Result<HomeSelector> create(HomeSelectorOptions options);
 
     /// A newer list of agents was read. Older revisions are ignored.
-    void onList(ListRevision revision, std::vector<BackendServerId> agents, TimePoint now);
+    void onAgentList(ListRevision revision, std::vector<BackendServerId> agents, TimePoint now);
     ListRevision revision() const;
     /// The homes under the current list, best first, then those under the lists of the window that are not among them.
     /// Empty when no list is known, or it is empty.
@@ -42,10 +42,10 @@
         std::vector<std::vector<std::uint32_t>> homes;
     };
 
-    explicit RequestHome(RequestHomeOptions options);
+    explicit HomeSelector(HomeSelectorOptions options);
     const std::vector<std::uint32_t>& homesInView(View& view, std::size_t slot) const;
 
-    RequestHomeOptions m_options;
+    HomeSelectorOptions m_options;
     /// Newest first.
     std::deque<View> m_views;
 };
--- a/include/swiftloft/policy/organisation-limits.h
+++ b/include/swiftloft/policy/organisation-limits.h
@@ -86,12 +86,12 @@
     double lenderReserve { 0.5 };
     double idleLenderReserve { 0.1 };
     /// Peers asked at a time, and the least time between two rounds.
-    std::size_t peersAsked { 2 };
-    milliseconds askInterval { 20 };
-    milliseconds longestAskInterval { 200 };
+    std::size_t peersPerRound { 2 };
+    milliseconds lendRequestInterval { 20 };
+    milliseconds maxLendRequestInterval { 200 };
     /// Peers asked in a second over all organisations: bounds what lending takes of the control traffic when many are
     /// short at once.
-    double asksPerSecond { 40 };
+    double lendRequestsPerSecond { 40 };
 };
 
 /// Limits of organisations in requests and tokens, held by one entry without shared state.
@@ -110,9 +110,9 @@
     /// `isUnusedSinceStart`: this entry has admitted nothing for the organisation since it was created, so what its share
     /// has yielded since then, up to the burst, is there to be used. Without it a new limit starts empty.
     void setLimit(const OrganisationName& organisation, const OrganisationLimit& limit, TimePoint now, bool isUnusedSinceStart = false);
-    void forget(const OrganisationName& organisation);
+    void removeOrganisation(const OrganisationName& organisation);
     /// The instance list was read; `entries` are the live entry instances.
-    void onList(const std::vector<InstanceId>& entries, TimePoint now);
+    void onInstanceList(const std::vector<InstanceId>& entries, TimePoint now);
 
     /// Takes one request and `estimate` tokens, or nothing. May ask peers: the effects are appended.
     LimitDecision admit(const OrganisationName& organisation, Tokens estimate, TimePoint now, LimitEffects& effects);
--- a/include/swiftloft/policy/prefix-index.h
+++ b/include/swiftloft/policy/prefix-index.h
@@ -27,7 +27,7 @@
     /// Places remembered; rounded up to a power of two of buckets of four. One place takes 16 bytes.
     std::size_t capacity { 1 << 16 };
     /// A place not confirmed for so long is no longer believed: engines evict without telling.
-    seconds forgetAfter { 300 };
+    seconds expireAfter { 300 };
 };
 
 /// Which backend servers lately held which prompt prefix in their cache, as far as this entry knows.
@@ -47,37 +47,37 @@
     static Result<PrefixIndex> create(PrefixIndexOptions options);
 
     /// Notes that `server` computed, and so now caches, every prefix in `blocks`.
-    void remember(std::span<const BlockHash> blocks, ServerHandle server, TimePoint now);
+    void insert(std::span<const BlockHash> blocks, ServerHandle server, TimePoint now);
     /// Fills `holders` with the servers of the longest prefix that has any; returns how many there are.
     std::size_t find(std::span<const BlockHash> blocks, TimePoint now, Holders& holders) const;
     void evict(BlockHash block, ServerHandle server);
     /// Forgets all of `server` in constant time: after a restart, or a gap in its cache events.
-    void forget(ServerHandle server);
+    void invalidate(ServerHandle server);
 
 private:
     static constexpr std::size_t ways = maximumHolders;
     static constexpr std::uint32_t noEpoch = 0;
 
-    struct Place {
+    struct Entry {
         std::uint32_t tag { 0 };
         std::uint32_t slot { 0 };
         std::uint32_t epoch { noEpoch };
         std::uint32_t usedAt { 0 };
     };
     struct alignas(64) Bucket {
-        std::array<Place, ways> places;
+        std::array<Entry, ways> entries;
     };
 
-    PrefixIndex(std::size_t buckets, seconds forgetAfter);
+    PrefixIndex(std::size_t buckets, seconds expireAfter);
     Bucket& bucketOf(BlockHash block) { return m_buckets[block.value() & (m_buckets.size() - 1)]; }
     const Bucket& bucketOf(BlockHash block) const { return m_buckets[block.value() & (m_buckets.size() - 1)]; }
-    bool isBelieved(const Place& place, std::uint32_t tag, std::uint32_t now) const;
-    void rememberBlock(BlockHash block, ServerHandle server, std::uint32_t now);
+    bool isValid(const Entry& entry, std::uint32_t tag, std::uint32_t now) const;
+    void insertBlock(BlockHash block, ServerHandle server, std::uint32_t now);
 
     std::vector<Bucket> m_buckets;
     std::vector<std::uint32_t> m_epochs;
     std::vector<std::uint32_t> m_generations;
-    std::uint32_t m_forgetAfter;
+    std::uint32_t m_expireAfter;
 };
 
 } // namespace swiftloft::policy
--- a/include/swiftloft/policy/retry-budget.h
+++ b/include/swiftloft/policy/retry-budget.h
@@ -44,7 +44,7 @@
     /// Takes one retry out of what the key earned, else out of the floor. False: no retry is left.
     bool tryTake(const TrafficKey& key, TimePoint now);
     /// Drops the credit of an organisation that left the settings.
-    void forget(const OrganisationName& organisation);
+    void removeOrganisation(const OrganisationName& organisation);
 
     std::size_t size() const { return m_credits.size(); }
 
--- a/include/swiftloft/policy/retry-policy.h
+++ b/include/swiftloft/policy/retry-policy.h
@@ -76,7 +76,7 @@
 
 private:
     RetryPolicy(RetryPolicyOptions options, Backoff backoff);
-    RetryReason reasonAgainstRetry(const FailedAttempt& attempt, TimePoint start) const;
+    RetryReason checkRetry(const FailedAttempt& attempt, TimePoint start) const;
     RetryDecision answer(const FailedAttempt& attempt, RetryReason reason, TimePoint now, Generator& generator) const;
 
     RetryPolicyOptions m_options;
--- a/include/swiftloft/policy/router.h
+++ b/include/swiftloft/policy/router.h
@@ -18,16 +18,16 @@
     DataCentreName dataCentre;
     RegionName region;
     /// Services up to this size are compared in full; larger ones by random samples of `samples` servers.
-    std::size_t compareAllUpTo { 16 };
+    std::size_t fullScanLimit { 16 };
     /// Two: with more, entries that hold the same old reports meet at the same few idle servers.
-    std::size_t samples { 2 };
+    std::size_t sampleCount { 2 };
     /// Weight of the newest report in a server's load by other entries. Reports are older than most prefills last, so a
     /// single one says little.
     double reportWeight { 0.3 };
     /// Speed assumed of a server that has not reported.
     double defaultTokensPerSecond { 5000 };
     /// Servers beyond the own data centre are looked at when the best wait at home exceeds this.
-    milliseconds spillAfter { 200 };
+    milliseconds spillThreshold { 200 };
     /// Added to the expected time of a server outside the data centre, and outside the region.
     milliseconds regionPenalty { 3 };
     milliseconds farPenalty { 40 };
@@ -37,7 +37,7 @@
     /// What one request saves is room for the others too; so it counts for more than its own time.
     double savingsWeight { 2 };
     /// Ejection stops when fewer than this share of the servers would be left.
-    double minimumActive { 0.5 };
+    double minActiveShare { 0.5 };
     ServerHealthOptions health;
     PrefixIndexOptions prefixes;
 };
@@ -64,7 +64,7 @@
     Tokens expectedOutput;
     bool isRepeatable { false };
     /// Servers that this request has been tried at.
-    std::span<const ServerHandle> tried;
+    std::span<const ServerHandle> triedServers;
 };
 
 enum class RouteReason {
@@ -126,7 +126,7 @@
     /// Adds a server, or returns the handle it has already.
     ServerHandle add(const ServerDescription& description);
     void remove(ServerHandle server);
-    void leaving(ServerHandle server);
+    void markLeaving(ServerHandle server);
     std::optional<ServerHandle> find(const BackendServerId& id) const;
     /// Null for a removed server.
     const BackendServerId* idOf(ServerHandle server) const;
@@ -141,7 +141,7 @@
     /// Mean time between tokens over a stretch of one answer.
     void onTokenGap(ServerHandle server, microseconds gap, TimePoint now);
     void onFinish(const RouteChoice& choice, TimePoint now);
-    void onFail(const RouteChoice& choice, FailureKind kind, TimePoint now);
+    void onFailure(const RouteChoice& choice, FailureKind kind, TimePoint now);
 
     void onReport(ServerHandle server, const LoadReport& report);
     void onCacheEvicted(ServerHandle server, BlockHash block);
--- a/include/swiftloft/policy/server-health.h
+++ b/include/swiftloft/policy/server-health.h
@@ -26,13 +26,13 @@
     double firstByteTolerance { 2.5 };
     double maximumFactor { 8 };
     /// A server not observed for so long is believed to be as fast as the others again, so that it gets tried.
-    seconds forgetAfter { 20 };
+    seconds expireAfter { 20 };
     /// Failures in a row that eject; a crash ejects at once.
     unsigned failuresToEject { 3 };
     /// Running share of failures that ejects a server which also succeeds now and then.
     double failureShareToEject { 0.4 };
-    milliseconds firstEjection { 1000 };
-    milliseconds longestEjection { 60000 };
+    milliseconds initialEjection { 1000 };
+    milliseconds maxEjection { 60000 };
 };
 
 /// What the servers of one service are compared with.
--- a/include/swiftloft/policy/ticket.h
+++ b/include/swiftloft/policy/ticket.h
@@ -37,7 +37,7 @@
     /// Fails with `MalformedInput` on anything that `encode` for the same organisation does not give. Safe on any bytes.
     static Result<Ticket> decode(std::string_view text, const OrganisationName& organisation);
     /// True when `text` claims to be a ticket, so that a damaged one is refused and not taken for a client's own key.
-    static bool looksLikeTicket(std::string_view text);
+    static bool hasTicketPrefix(std::string_view text);
 };
 
 } // namespace swiftloft::policy
--- a/src/agent/daemon.cc
+++ b/src/agent/daemon.cc
@@ -17,7 +17,7 @@
     ReducerOptions options;
     options.self = BackendServerId(config.id);
     options.incarnation = incarnation;
-    options.claims.refusesWhileYoung = !config.isFirstStart;
+    options.claims.hasStartupGracePeriod = !config.isFirstStart;
     options.claims.retention = keyRetention;
     return options;
 }
--- a/src/agent/reducer.cc
+++ b/src/agent/reducer.cc
@@ -17,13 +17,13 @@
     auto quarantine = policy::CrashQuarantine::create(options.quarantine);
     if (!quarantine)
         return quarantine.error();
-    auto claims = policy::ClaimDesk::create(options.claims, options.incarnation, now);
+    auto claims = policy::ClaimTable::create(options.claims, options.incarnation, now);
     if (!claims)
         return claims.error();
     return Reducer(std::move(options), std::move(*dedup), std::move(*quarantine), std::move(*claims));
 }
 
-Reducer::Reducer(ReducerOptions options, policy::DedupTable dedup, policy::CrashQuarantine quarantine, policy::ClaimDesk claims)
+Reducer::Reducer(ReducerOptions options, policy::DedupTable dedup, policy::CrashQuarantine quarantine, policy::ClaimTable claims)
     : m_options(std::move(options))
     , m_dedup(std::move(dedup))
     , m_quarantine(std::move(quarantine))
@@ -136,7 +136,7 @@
 
 void Reducer::on(const ListLearned& event, Effects&)
 {
-    m_claims.onList(event.revision, event.now);
+    m_claims.onListRevision(event.revision, event.now);
 }
 
 void Reducer::refuseStart(const RunRequested& event, policy::StartResult result, Effects& effects) const
--- a/src/agent/reducer.h
+++ b/src/agent/reducer.h
@@ -2,7 +2,7 @@
 
 #include "src/agent/events.h"
 
-#include <swiftloft/policy/claim-desk.h>
+#include <swiftloft/policy/claim-table.h>
 #include <swiftloft/policy/crash-quarantine.h>
 #include <swiftloft/policy/dedup-table.h>
 #include <swiftloft/result.h>
@@ -23,7 +23,7 @@
     std::size_t mostAnswers { 2000 };
     policy::DedupTableOptions dedup;
     policy::CrashQuarantineOptions quarantine;
-    policy::ClaimDeskOptions claims;
+    policy::ClaimTableOptions claims;
 };
 
 /// All decisions of an agent about requests: State x Event -> Effects, on the control thread.
@@ -66,7 +66,7 @@
         TimePoint at;
     };
 
-    Reducer(ReducerOptions options, policy::DedupTable dedup, policy::CrashQuarantine quarantine, policy::ClaimDesk claims);
+    Reducer(ReducerOptions options, policy::DedupTable dedup, policy::CrashQuarantine quarantine, policy::ClaimTable claims);
 
     void on(const RunRequested& event, Effects& effects);
     void on(const ClaimRequested& event, Effects& effects);
@@ -98,7 +98,7 @@
     ReducerOptions m_options;
     policy::DedupTable m_dedup;
     policy::CrashQuarantine m_quarantine;
-    policy::ClaimDesk m_claims;
+    policy::ClaimTable m_claims;
     /// Runs and kept answers of client keys.
     std::unordered_map<policy::ClientKey, RunId> m_runOfKey;
     std::unordered_map<RunId, Run> m_runs;
--- a/src/entry/fleet.cc
+++ b/src/entry/fleet.cc
@@ -201,7 +201,7 @@
     return capacity;
 }
 
-policy::RequestHome* Fleet::homes(const ServiceName& service)
+policy::HomeSelector* Fleet::homes(const ServiceName& service)
 {
     auto it = m_homes.find(service);
     return it == m_homes.end() ? nullptr : &it->second;
@@ -220,8 +220,8 @@
     for (auto& [service, ids] : agents) {
         auto it = m_homes.find(service);
         if (it == m_homes.end())
-            it = m_homes.emplace(service, policy::RequestHome::create({}).value()).first;
-        it->second.onList(policy::ListRevision(revision.value()), std::move(ids), now);
+            it = m_homes.emplace(service, policy::HomeSelector::create({}).value()).first;
+        it->second.onAgentList(policy::ListRevision(revision.value()), std::move(ids), now);
     }
 }
 
--- a/src/entry/fleet.h
+++ b/src/entry/fleet.h
@@ -4,7 +4,7 @@
 #include "src/entry/events.h"
 
 #include <swiftloft/membership/view.h>
-#include <swiftloft/policy/request-home.h>
+#include <swiftloft/policy/home-selector.h>
 #include <swiftloft/policy/router.h>
 
 #include <boost/unordered/unordered_flat_map.hpp>
@@ -64,7 +64,7 @@
     /// Servers of a service that may get new work, and their speeds added up.
     ServiceCapacity capacityOf(const ServiceName& service) const;
     /// The homes of client keys of a service; null for a service without any listed server.
-    policy::RequestHome* homes(const ServiceName& service);
+    policy::HomeSelector* homes(const ServiceName& service);
 
     const boost::unordered_flat_map<BackendServerId, BackendServer, std::hash<BackendServerId>>& servers() const { return m_servers; }
 
@@ -78,7 +78,7 @@
     membership::Topology m_topology;
     boost::unordered_flat_map<BackendServerId, BackendServer, std::hash<BackendServerId>> m_servers;
     boost::unordered_flat_map<ServiceName, policy::Router, std::hash<ServiceName>> m_routers;
-    boost::unordered_flat_map<ServiceName, policy::RequestHome, std::hash<ServiceName>> m_homes;
+    boost::unordered_flat_map<ServiceName, policy::HomeSelector, std::hash<ServiceName>> m_homes;
     std::optional<Revision> m_listRevision;
 };
 
--- a/src/entry/limits.cc
+++ b/src/entry/limits.cc
@@ -107,9 +107,9 @@
     }
     m_entries = std::max<std::size_t>(1, entries.size());
     if (m_isFirstStart)
-        m_limits.onList(entries, now - policy::FleetShareOptions().window);
+        m_limits.onInstanceList(entries, now - policy::FleetShareOptions().window);
     m_isFirstStart = false;
-    m_limits.onList(entries, now);
+    m_limits.onInstanceList(entries, now);
 }
 
 void Limits::onLoan(const Loan& loan, TimePoint now, Effects& effects)
--- a/src/entry/reducer-attempts.cc
+++ b/src/entry/reducer-attempts.cc
@@ -72,7 +72,7 @@
     auto router = m_fleet.router(request.resolved.service->name);
     if (router && request.attempt->isRouted) {
         if (failure)
-            router->onFail(request.attempt->choice, *failure, now);
+            router->onFailure(request.attempt->choice, *failure, now);
         else
             router->onFinish(request.attempt->choice, now);
     }
--- a/src/entry/reducer.cc
+++ b/src/entry/reducer.cc
@@ -194,7 +194,7 @@
 // A suspect goes where every entry sends it, alone, so that a second crash hurts nobody beside it.
 bool Reducer::chooseAloneServer(const Request& request, Attempt& attempt) const
 {
-    auto server = policy::suspectServer(request.resolved.fingerprint, m_fleet.upServers(request.resolved.service->name));
+    auto server = policy::isolationServer(request.resolved.fingerprint, m_fleet.upServers(request.resolved.service->name));
     if (!server)
         return false;
     attempt.server = *server;
--- a/src/policy/admission-queue.cc
+++ b/src/policy/admission-queue.cc
@@ -1,14 +1,14 @@
 #include <swiftloft/policy/admission-queue.h>
 
 #include "src/policy/drain-rate.h"
-#include "src/policy/waiting-room.h"
+#include "src/policy/fair-queue.h"
 
 #include <algorithm>
 
 namespace swiftloft::policy {
 
 using internal::DrainRate;
-using internal::WaitingRoom;
+using internal::FairQueue;
 
 std::string_view toString(AdmissionReason reason)
 {
@@ -27,23 +27,23 @@
 public:
     explicit State(AdmissionOptions settings)
         : options(settings)
-        , drain(settings.initialTokensPerSecond)
+        , drainRate(settings.initialTokensPerSecond)
     {
     }
 
-    microseconds waitOf(const OrganisationName& name, Priority priority) const
+    microseconds expectedWait(const OrganisationName& name, Priority priority) const
     {
-        auto total = static_cast<double>(room.backlog().value());
-        auto* organisation = room.findOrganisation(name);
+        auto total = static_cast<double>(queue.backlog().value());
+        auto* organisation = queue.findOrganisation(name);
         double weight = organisation ? organisation->weight : 1;
         double ahead = 0;
         for (std::size_t i = 0; organisation && i <= static_cast<std::size_t>(priority); ++i)
             ahead += static_cast<double>(organisation->lists[i].cost.value());
         bool isActive = organisation && organisation->backlog > Tokens(0);
-        auto activeWeight = room.activeWeight() + (isActive ? 0 : weight);
+        auto activeWeight = queue.activeWeight() + (isActive ? 0 : weight);
         // While its own backlog drains at its share, the others drain too; it never waits for more than everything.
         auto work = std::min(total, ahead * activeWeight / weight);
-        return microseconds(static_cast<std::int64_t>(work / drain.tokensPerSecond() * 1e6));
+        return microseconds(static_cast<std::int64_t>(work / drainRate.tokensPerSecond() * 1e6));
     }
 
     bool canStart(Tokens cost) const
@@ -55,60 +55,60 @@
 
     AdmissionEffect refuse(AdmissionId id, const OrganisationName& organisation, Priority priority, AdmissionReason reason, TimePoint now, Generator& generator) const
     {
-        auto expectedFree = now + waitOf(organisation, priority);
+        auto expectedFree = now + expectedWait(organisation, priority);
         return { AdmissionAction::Refuse, id, reason, retryAfter(options.retryAfter, expectedFree, now, generator) };
     }
 
     void refuseWaiting(std::uint32_t slot, AdmissionReason reason, TimePoint now, Generator& generator, AdmissionEffects& effects)
     {
-        auto request = room.take(slot);
-        auto& organisation = room.organisation(request.organisation).name;
+        auto request = queue.remove(slot);
+        auto& organisation = queue.organisation(request.organisation).name;
         effects.push_back(refuse(request.id, organisation, request.priority, reason, now, generator));
     }
 
     void expire(TimePoint now, Generator& generator, AdmissionEffects& effects)
     {
-        while (room.size() && *room.earliestLatestStart() < now)
-            refuseWaiting(room.firstToExpire(), AdmissionReason::Expired, now, generator, effects);
+        while (queue.size() && *queue.earliestLatestStart() < now)
+            refuseWaiting(queue.firstToExpire(), AdmissionReason::Expired, now, generator, effects);
     }
 
     void dispatch(AdmissionEffects& effects)
     {
-        while (auto slot = room.nextInTurn()) {
-            if (!canStart(room.at(*slot).cost))
+        while (auto slot = queue.nextRequest()) {
+            if (!canStart(queue.at(*slot).cost))
                 return;
-            auto request = room.take(*slot);
-            room.charge(request.organisation, request.cost);
+            auto request = queue.remove(*slot);
+            queue.charge(request.organisation, request.cost);
             inFlight += request.cost;
             ++running;
             effects.push_back({ AdmissionAction::Start, request.id });
         }
     }
 
-    bool hasTimeFor(const AdmissionRequest& request, TimePoint now) const
+    bool canMeetDeadline(const AdmissionRequest& request, TimePoint now) const
     {
-        auto patience = std::chrono::duration<double, std::micro>(request.latestStart - now).count();
-        auto wait = static_cast<double>(waitOf(request.organisation, request.priority).count());
-        return patience >= 0 && wait <= patience * options.waitMargin;
+        auto timeToLatestStart = std::chrono::duration<double, std::micro>(request.latestStart - now).count();
+        auto wait = static_cast<double>(expectedWait(request.organisation, request.priority).count());
+        return timeToLatestStart >= 0 && wait <= timeToLatestStart * options.waitMargin;
     }
 
     /// Guards against one organisation filling the queue: the others would be refused although their share is unused.
     /// Room is made by the organisation that waits for the most in proportion to its weight.
-    bool makeRoomFor(const AdmissionRequest& request, TimePoint now, Generator& generator, AdmissionEffects& effects)
+    bool evictFor(const AdmissionRequest& request, TimePoint now, Generator& generator, AdmissionEffects& effects)
     {
-        if (room.size() < options.maximumQueued)
+        if (queue.size() < options.maximumQueued)
             return true;
-        auto& organisation = room.organisation(room.organisationSlot(request.organisation));
+        auto& organisation = queue.organisation(queue.organisationSlot(request.organisation));
         auto share = static_cast<double>((organisation.backlog + request.cost).value()) / organisation.weight;
-        if (share >= room.largestShare())
+        if (share >= queue.largestShare())
             return false;
-        refuseWaiting(room.newestOf(room.largestOrganisation()), AdmissionReason::QueueFull, now, generator, effects);
+        refuseWaiting(queue.newestOf(queue.largestOrganisation()), AdmissionReason::QueueFull, now, generator, effects);
         return true;
     }
 
     AdmissionOptions options;
-    WaitingRoom room;
-    DrainRate drain;
+    FairQueue queue;
+    DrainRate drainRate;
     Tokens inFlight;
     std::size_t running { 0 };
 };
@@ -134,10 +134,10 @@
 {
     AdmissionEffects effects;
     m_state->expire(now, generator, effects);
-    bool startsAtOnce = !m_state->room.size() && m_state->canStart(request.cost);
+    bool startsAtOnce = !m_state->queue.size() && m_state->canStart(request.cost);
     auto reason = AdmissionReason::WaitTooLong;
-    bool isAccepted = startsAtOnce || m_state->hasTimeFor(request, now);
-    if (isAccepted && !m_state->makeRoomFor(request, now, generator, effects)) {
+    bool isAccepted = startsAtOnce || m_state->canMeetDeadline(request, now);
+    if (isAccepted && !m_state->evictFor(request, now, generator, effects)) {
         isAccepted = false;
         reason = AdmissionReason::QueueFull;
     }
@@ -145,7 +145,7 @@
         effects.push_back(m_state->refuse(request.id, request.organisation, request.priority, reason, now, generator));
         return effects;
     }
-    m_state->room.push(request, m_state->room.organisationSlot(request.organisation));
+    m_state->queue.push(request, m_state->queue.organisationSlot(request.organisation));
     m_state->dispatch(effects);
     return effects;
 }
@@ -154,20 +154,20 @@
 {
     AdmissionEffects effects;
     auto charged = std::max(cost, Tokens(1));
-    m_state->drain.onFinish(charged, m_state->room.size() > 0, now);
+    m_state->drainRate.onFinish(charged, m_state->queue.size() > 0, now);
     m_state->inFlight = std::max(Tokens(0), m_state->inFlight - charged);
     m_state->running -= m_state->running ? 1 : 0;
     m_state->expire(now, generator, effects);
     m_state->dispatch(effects);
     if (!m_state->running)
-        m_state->room.onIdle();
+        m_state->queue.onIdle();
     return effects;
 }
 
 void AdmissionQueue::onAbandon(AdmissionId id)
 {
-    if (auto slot = m_state->room.find(id))
-        m_state->room.take(*slot);
+    if (auto slot = m_state->queue.find(id))
+        m_state->queue.remove(*slot);
 }
 
 AdmissionEffects AdmissionQueue::onTimer(TimePoint now, Generator& generator)
@@ -181,10 +181,10 @@
 
 std::optional<TimePoint> AdmissionQueue::nextTimer() const
 {
-    auto latest = m_state->room.earliestLatestStart();
-    if (!latest)
+    auto earliest = m_state->queue.earliestLatestStart();
+    if (!earliest)
         return std::nullopt;
-    return *latest + microseconds(1);
+    return *earliest + microseconds(1);
 }
 
 AdmissionEffects AdmissionQueue::setCapacity(Tokens capacity, TimePoint now, Generator& generator)
@@ -201,22 +201,22 @@
 
 void AdmissionQueue::setWeight(const OrganisationName& organisation, double weight)
 {
-    m_state->room.setWeight(organisation, weight);
+    m_state->queue.setWeight(organisation, weight);
 }
 
-void AdmissionQueue::forget(const OrganisationName& organisation)
+void AdmissionQueue::removeOrganisation(const OrganisationName& organisation)
 {
-    m_state->room.forget(organisation);
+    m_state->queue.removeOrganisation(organisation);
 }
 
 microseconds AdmissionQueue::expectedWait(const OrganisationName& organisation, Priority priority) const
 {
-    return m_state->waitOf(organisation, priority);
+    return m_state->expectedWait(organisation, priority);
 }
 
 std::size_t AdmissionQueue::queued() const
 {
-    return m_state->room.size();
+    return m_state->queue.size();
 }
 
 Tokens AdmissionQueue::inFlight() const
--- a/src/policy/backoff.cc
+++ b/src/policy/backoff.cc
@@ -36,8 +36,8 @@
 {
     auto wait = std::chrono::duration<double>(expectedFree - now).count();
     auto shortest = std::clamp(wait, static_cast<double>(options.minimum.count()), static_cast<double>(options.maximum.count()));
-    boost::random::uniform_real_distribution<double> stretch(1, 1 + std::max(options.spread, 0.001));
-    auto n = static_cast<std::int64_t>(std::ceil(shortest * stretch(generator)));
+    boost::random::uniform_real_distribution<double> factor(1, 1 + std::max(options.jitter, 0.001));
+    auto n = static_cast<std::int64_t>(std::ceil(shortest * factor(generator)));
     return std::min(seconds(n), options.maximum);
 }
 
--- a/src/policy/claim-protocol.cc
+++ b/src/policy/claim-protocol.cc
@@ -59,22 +59,22 @@
 ClaimEffects ClaimProtocol::start()
 {
     if (m_homes.empty())
-        return giveUp(refuse(ClaimRefusal::NoHomes));
+        return abortClaim(refuse(ClaimRefusal::NoHomes));
     return claimNext();
 }
 
 ClaimEffects ClaimProtocol::onReply(const BackendServerId& from, const ClaimReply& reply)
 {
     // Doubled and late replies of homes already passed are ignored.
-    if (m_state != State::Claiming || from != m_homes[m_asking] || reply.claim != m_request.claim)
+    if (m_state != State::Claiming || from != m_homes[m_currentHome] || reply.claim != m_request.claim)
         return {};
     if (reply.answer == ClaimAnswer::Held)
-        return giveUp({ ClaimEffectKind::Attach, reply.runner });
+        return abortClaim({ ClaimEffectKind::Attach, reply.runner });
     if (reply.answer != ClaimAnswer::Granted)
-        return giveUp(refuse(refusalFor(reply.answer)));
-    if (m_asking == 0)
+        return abortClaim(refuse(refusalFor(reply.answer)));
+    if (m_currentHome == 0)
         m_runnerIncarnation = reply.agent;
-    ++m_asking;
+    ++m_currentHome;
     return claimNext();
 }
 
@@ -85,9 +85,9 @@
         m_state = State::Done;
         return { refuse(ClaimRefusal::HomeUnreachable) };
     }
-    if (m_state != State::Claiming || agent != m_homes[m_asking])
+    if (m_state != State::Claiming || agent != m_homes[m_currentHome])
         return {};
-    return giveUp(refuse(ClaimRefusal::HomeUnreachable));
+    return abortClaim(refuse(ClaimRefusal::HomeUnreachable));
 }
 
 ClaimEffects ClaimProtocol::onRunAnswer(RunAnswer answer)
@@ -110,18 +110,18 @@
 
 ClaimEffects ClaimProtocol::claimNext()
 {
-    if (m_asking < m_homes.size())
-        return { { ClaimEffectKind::SendClaim, m_homes[m_asking] } };
+    if (m_currentHome < m_homes.size())
+        return { { ClaimEffectKind::SendClaim, m_homes[m_currentHome] } };
     m_state = State::Running;
     return { { ClaimEffectKind::SendRun, m_request.runner, m_runnerIncarnation } };
 }
 
 /// Only before the run was sent: from here on this claim never runs anything, so its grants can be given back.
-ClaimEffects ClaimProtocol::giveUp(ClaimEffect last)
+ClaimEffects ClaimProtocol::abortClaim(ClaimEffect last)
 {
     m_state = State::Done;
     ClaimEffects effects;
-    for (std::size_t i = 0; i < m_homes.size() && i <= m_asking; ++i)
+    for (std::size_t i = 0; i < m_homes.size() && i <= m_currentHome; ++i)
         effects.push_back({ ClaimEffectKind::SendRelease, m_homes[i] });
     effects.push_back(std::move(last));
     return effects;
--- a/src/policy/claim-desk.cc
+++ b/src/policy/claim-table.cc
@@ -1,24 +1,24 @@
-#include <swiftloft/policy/claim-desk.h>
+#include <swiftloft/policy/claim-table.h>
 
 #include <algorithm>
 
 namespace swiftloft::policy {
 
-ClaimDesk::ClaimDesk(ClaimDeskOptions options, Incarnation self, TimePoint now)
+ClaimTable::ClaimTable(ClaimTableOptions options, Incarnation self, TimePoint now)
     : m_options(options)
     , m_self(self)
-    , m_grantsFrom(options.refusesWhileYoung ? now + options.retention + options.claimLease : now)
+    , m_gracePeriodEndsAt(options.hasStartupGracePeriod ? now + options.retention + options.claimLease : now)
 {
 }
 
-Result<ClaimDesk> ClaimDesk::create(ClaimDeskOptions options, Incarnation self, TimePoint now)
+Result<ClaimTable> ClaimTable::create(ClaimTableOptions options, Incarnation self, TimePoint now)
 {
     if (options.claimLease.count() <= 0 || options.retention < options.claimLease || !options.capacity)
         return Error { ErrorCode::InvalidArgument, "claim desk: lease and capacity must be positive, retention at least the lease" };
-    return ClaimDesk(options, self, now);
+    return ClaimTable(options, self, now);
 }
 
-void ClaimDesk::onList(ListRevision revision, TimePoint now)
+void ClaimTable::onListRevision(ListRevision revision, TimePoint now)
 {
     if (!m_lists.empty() && revision <= m_lists.back().revision)
         return;
@@ -28,29 +28,29 @@
         m_lists.pop_front();
 }
 
-bool ClaimDesk::isStale(ListRevision revision, TimePoint now) const
+bool ClaimTable::isStale(ListRevision revision, TimePoint now) const
 {
     auto newer = std::find_if(m_lists.begin(), m_lists.end(), [&](auto& it) { return it.revision > revision; });
     return newer != m_lists.end() && newer->learnedAt + m_options.staleListTolerance < now;
 }
 
-std::optional<ClaimAnswer> ClaimDesk::reasonToRefuse(const ClaimRequest& request, TimePoint now) const
+std::optional<ClaimAnswer> ClaimTable::refusalReason(const ClaimRequest& request, TimePoint now) const
 {
     // An entry that slept through list changes would claim at homes that nobody else asks any more.
     if (isStale(request.revision, now))
         return ClaimAnswer::StaleList;
     // A restarted agent has forgotten what it granted; granting again could let a key run twice.
-    if (now < m_grantsFrom)
+    if (now < m_gracePeriodEndsAt)
         return ClaimAnswer::TooYoung;
     if (m_records.size() >= m_options.capacity)
         return ClaimAnswer::Full;
     return std::nullopt;
 }
 
-ClaimReply ClaimDesk::onClaim(const ClaimRequest& request, TimePoint now)
+ClaimReply ClaimTable::onClaim(const ClaimRequest& request, TimePoint now)
 {
     tick(now);
-    onList(request.revision, now);
+    onListRevision(request.revision, now);
     auto newest = m_lists.back().revision;
     auto it = m_records.find(request.key);
     if (it != m_records.end()) {
@@ -58,22 +58,22 @@
         auto answer = it->second.claim == request.claim ? ClaimAnswer::Granted : ClaimAnswer::Held;
         return { request.claim, answer, m_self, it->second.runner, newest };
     }
-    if (auto reason = reasonToRefuse(request, now))
+    if (auto reason = refusalReason(request, now))
         return { request.claim, *reason, m_self, {}, newest };
-    auto forgetAt = now + m_options.claimLease + m_options.retention;
-    m_records.emplace(request.key, Record { request.claim, request.runner, Phase::Claimed, Verdict::MayHaveRun, now + m_options.claimLease, forgetAt });
-    m_forgetting.push_back({ forgetAt, request.key });
+    auto expiresAt = now + m_options.claimLease + m_options.retention;
+    m_records.emplace(request.key, Record { request.claim, request.runner, Phase::Claimed, Verdict::MayHaveRun, now + m_options.claimLease, expiresAt });
+    m_expiries.push_back({ expiresAt, request.key });
     return { request.claim, ClaimAnswer::Granted, m_self, request.runner, newest };
 }
 
-void ClaimDesk::onRelease(const ClientKey& key, const ClaimId& claim)
+void ClaimTable::onRelease(const ClientKey& key, const ClaimId& claim)
 {
     auto it = m_records.find(key);
     if (it != m_records.end() && it->second.claim == claim && it->second.phase == Phase::Claimed)
         m_records.erase(it);
 }
 
-RunAnswer ClaimDesk::onRun(const ClientKey& key, const ClaimId& claim, Incarnation incarnation, TimePoint now)
+RunAnswer ClaimTable::onRun(const ClientKey& key, const ClaimId& claim, Incarnation incarnation, TimePoint now)
 {
     auto it = m_records.find(key);
     if (incarnation != m_self || it == m_records.end() || it->second.claim != claim)
@@ -85,24 +85,24 @@
         return RunAnswer::AlreadyFinished;
     // An entry that was paused between its last grant and the run: the other homes may have forgotten the claim, and
     // another entry may have run the key.
-    if (now >= record.runBefore)
+    if (now >= record.leaseExpiresAt)
         return RunAnswer::NotClaimed;
     record.phase = Phase::Running;
     return RunAnswer::Run;
 }
 
-void ClaimDesk::onFinish(const ClientKey& key, Verdict verdict, TimePoint now)
+void ClaimTable::onFinish(const ClientKey& key, Verdict verdict, TimePoint now)
 {
     auto it = m_records.find(key);
     if (it == m_records.end() || it->second.phase != Phase::Running)
         return;
     it->second.phase = Phase::Finished;
     it->second.verdict = verdict;
-    it->second.forgetAt = now + m_options.claimLease + m_options.retention;
-    m_forgetting.push_back({ it->second.forgetAt, key });
+    it->second.expiresAt = now + m_options.claimLease + m_options.retention;
+    m_expiries.push_back({ it->second.expiresAt, key });
 }
 
-std::optional<Verdict> ClaimDesk::outcomeOf(const ClientKey& key) const
+std::optional<Verdict> ClaimTable::outcomeOf(const ClientKey& key) const
 {
     auto it = m_records.find(key);
     if (it == m_records.end() || it->second.phase == Phase::Claimed)
@@ -110,14 +110,14 @@
     return it->second.verdict;
 }
 
-void ClaimDesk::tick(TimePoint now)
+void ClaimTable::tick(TimePoint now)
 {
     // All lives are equally long, so the list is in order of time.
-    while (!m_forgetting.empty() && m_forgetting.front().at <= now) {
-        auto it = m_records.find(m_forgetting.front().key);
-        if (it != m_records.end() && it->second.forgetAt <= now && it->second.phase != Phase::Running)
+    while (!m_expiries.empty() && m_expiries.front().expiresAt <= now) {
+        auto it = m_records.find(m_expiries.front().key);
+        if (it != m_records.end() && it->second.expiresAt <= now && it->second.phase != Phase::Running)
             m_records.erase(it);
-        m_forgetting.pop_front();
+        m_expiries.pop_front();
     }
 }
 
--- a/src/policy/crash-quarantine.cc
+++ b/src/policy/crash-quarantine.cc
@@ -9,18 +9,18 @@
 
 namespace {
 
-constexpr std::size_t crashesToConvict = 2;
+constexpr std::size_t quarantineThreshold = 2;
 /// More crashes of one fingerprint change no decision.
-constexpr std::size_t mostCrashes = 4;
+constexpr std::size_t maxCrashes = 4;
 
 template <typename Crashes>
-std::size_t countAgainst(const Crashes& crashes, TimePoint now)
+std::size_t countUncleared(const Crashes& crashes, TimePoint now)
 {
     return static_cast<std::size_t>(std::count_if(crashes.begin(), crashes.end(), [&](auto& it) { return !it.isCleared && it.expiresAt > now; }));
 }
 
 template <typename Crashes>
-TimePoint firstToExpire(const Crashes& crashes, TimePoint now)
+TimePoint earliestExpiry(const Crashes& crashes, TimePoint now)
 {
     auto first = TimePoint::max();
     for (auto& it : crashes) {
@@ -31,7 +31,7 @@
 }
 
 template <typename Crashes>
-TimePoint lastToExpire(const Crashes& crashes)
+TimePoint latestExpiry(const Crashes& crashes)
 {
     auto last = TimePoint::min();
     for (auto& it : crashes)
@@ -52,7 +52,7 @@
     return CrashId(hashOf(server.value(), XXH3_64bits(numbers, sizeof numbers)));
 }
 
-std::optional<BackendServerId> suspectServer(Fingerprint fingerprint, std::span<const BackendServerId> candidates)
+std::optional<BackendServerId> isolationServer(Fingerprint fingerprint, std::span<const BackendServerId> candidates)
 {
     auto score = [&](const BackendServerId& id) { return std::pair(hashOf(id.value(), fingerprint.value()), std::string_view(id.value())); };
     auto it = std::max_element(candidates.begin(), candidates.end(), [&](auto& a, auto& b) { return score(a) < score(b); });
@@ -83,7 +83,7 @@
 
 Result<CrashQuarantine> CrashQuarantine::create(CrashQuarantineOptions options)
 {
-    if (options.suspicion.count() <= 0 || options.conviction < options.suspicion || !options.capacity)
+    if (options.suspicionPeriod.count() <= 0 || options.quarantinePeriod < options.suspicionPeriod || !options.capacity)
         return Error { ErrorCode::InvalidArgument, "crash quarantine: suspicion and capacity must be positive, conviction at least suspicion" };
     return CrashQuarantine(options);
 }
@@ -94,11 +94,11 @@
     if (it == m_records.end())
         return {};
     auto& record = it->second;
-    auto n = countAgainst(record.crashes, now);
+    auto n = countUncleared(record.crashes, now);
     if (!n)
         return {};
-    auto until = firstToExpire(record.crashes, now);
-    if (n >= crashesToConvict)
+    auto until = earliestExpiry(record.crashes, now);
+    if (n >= quarantineThreshold)
         return { QuarantineAction::Refuse, until };
     // Two copies of one suspect would crash two servers before the first crash is known.
     if (record.running)
@@ -122,28 +122,28 @@
 
 std::vector<SuspicionMessage> CrashQuarantine::onSuccess(Fingerprint fingerprint, TimePoint now)
 {
-    std::vector<SuspicionMessage> news;
+    std::vector<SuspicionMessage> messages;
     auto it = m_records.find(fingerprint);
     if (it == m_records.end())
-        return news;
+        return messages;
     for (auto& crash : it->second.crashes) {
         if (crash.isCleared || crash.expiresAt <= now)
             continue;
         crash.isCleared = true;
-        news.push_back(messageOf(fingerprint, crash, now));
+        messages.push_back(messageOf(fingerprint, crash, now));
     }
-    return news;
+    return messages;
 }
 
 std::vector<SuspicionMessage> CrashQuarantine::onCrash(const CrashReport& report, TimePoint now)
 {
-    std::vector<SuspicionMessage> news;
+    std::vector<SuspicionMessage> messages;
     for (auto fingerprint : report.inFlight) {
-        Crash crash { report.crash, now + m_options.suspicion, false };
-        if (learn(fingerprint, crash, now))
-            news.push_back(messageOf(fingerprint, crash, now));
+        Crash crash { report.crash, now + m_options.suspicionPeriod, false };
+        if (merge(fingerprint, crash, now))
+            messages.push_back(messageOf(fingerprint, crash, now));
     }
-    return news;
+    return messages;
 }
 
 bool CrashQuarantine::onMessage(const SuspicionMessage& message, TimePoint now)
@@ -153,8 +153,8 @@
     if (message.hops >= m_options.maximumHops || message.remaining.count() <= 0)
         return false;
     // A peer's figure is not trusted beyond what this node would have set itself.
-    auto remaining = std::min<milliseconds>(message.remaining, m_options.conviction);
-    return learn(message.fingerprint, { message.crash, now + remaining, message.isCleared, message.hops + 1 }, now);
+    auto remaining = std::min<milliseconds>(message.remaining, m_options.quarantinePeriod);
+    return merge(message.fingerprint, { message.crash, now + remaining, message.isCleared, message.hops + 1 }, now);
 }
 
 std::vector<SuspicionMessage> CrashQuarantine::snapshot(TimePoint now) const
@@ -171,50 +171,50 @@
 
 void CrashQuarantine::tick(TimePoint now)
 {
-    boost::unordered::erase_if(m_records, [&](auto& entry) { return !entry.second.running && lastToExpire(entry.second.crashes) <= now; });
+    boost::unordered::erase_if(m_records, [&](auto& entry) { return !entry.second.running && latestExpiry(entry.second.crashes) <= now; });
 }
 
-bool CrashQuarantine::learn(Fingerprint fingerprint, Crash crash, TimePoint now)
+bool CrashQuarantine::merge(Fingerprint fingerprint, Crash crash, TimePoint now)
 {
     auto it = m_records.find(fingerprint);
     if (it == m_records.end()) {
-        makeRoom(now);
+        evictToCapacity(now);
         it = m_records.emplace(fingerprint, Record {}).first;
     }
     auto& crashes = it->second.crashes;
     std::erase_if(crashes, [&](auto& known) { return known.expiresAt <= now && known.id != crash.id; });
     auto known = std::find_if(crashes.begin(), crashes.end(), [&](auto& each) { return each.id == crash.id; });
     if (known != crashes.end()) {
-        // The time point of the first news stands: taking the later one, two nodes that tell each other of a crash
+        // The time point of the first messages stands: taking the later one, two nodes that tell each other of a crash
         // would put its end off for ever.
-        bool isNews = crash.isCleared && !known->isCleared;
+        bool isNewlyCleared = crash.isCleared && !known->isCleared;
         known->isCleared = known->isCleared || crash.isCleared;
-        return isNews;
+        return isNewlyCleared;
     }
-    if (crashes.size() >= mostCrashes)
+    if (crashes.size() >= maxCrashes)
         return false;
     crashes.push_back(crash);
-    extendConviction(it->second, now);
+    extendQuarantine(it->second, now);
     return true;
 }
 
-void CrashQuarantine::extendConviction(Record& record, TimePoint now) const
+void CrashQuarantine::extendQuarantine(Record& record, TimePoint now) const
 {
-    if (countAgainst(record.crashes, now) < crashesToConvict)
+    if (countUncleared(record.crashes, now) < quarantineThreshold)
         return;
     for (auto& it : record.crashes)
-        it.expiresAt = std::max(it.expiresAt, now + m_options.conviction);
+        it.expiresAt = std::max(it.expiresAt, now + m_options.quarantinePeriod);
 }
 
 /// Guards against a flood of crash reports filling the memory: suspects go first, the one with the shortest life left,
 /// then the convicted. Linear, but only for a new suspect when full.
-void CrashQuarantine::makeRoom(TimePoint now)
+void CrashQuarantine::evictToCapacity(TimePoint now)
 {
     if (m_records.size() < m_options.capacity)
         return;
     tick(now);
     while (m_records.size() >= m_options.capacity) {
-        auto rank = [&](auto& entry) { return std::pair(countAgainst(entry.second.crashes, now) >= crashesToConvict, lastToExpire(entry.second.crashes)); };
+        auto rank = [&](auto& entry) { return std::pair(countUncleared(entry.second.crashes, now) >= quarantineThreshold, latestExpiry(entry.second.crashes)); };
         auto it = std::min_element(m_records.begin(), m_records.end(), [&](auto& a, auto& b) { return rank(a) < rank(b); });
         m_records.erase(it);
     }
--- a/src/policy/drain-rate.h
+++ b/src/policy/drain-rate.h
@@ -15,12 +15,12 @@
     /// `isBusy`: something was waiting since the last finish; otherwise the gap says nothing about the speed.
     void onFinish(Tokens cost, bool isBusy, TimePoint now)
     {
-        constexpr double keep = 1 - 1.0 / 64;
-        constexpr double shortestStretch = 0.05;
+        constexpr double decay = 1 - 1.0 / 64;
+        constexpr double minElapsedSeconds = 0.05;
         if (isBusy && m_lastFinish != TimePoint {}) {
-            m_cost = m_cost * keep + static_cast<double>(cost.value());
-            m_elapsed = m_elapsed * keep + std::chrono::duration<double>(now - m_lastFinish).count();
-            if (m_elapsed > shortestStretch)
+            m_cost = m_cost * decay + static_cast<double>(cost.value());
+            m_elapsed = m_elapsed * decay + std::chrono::duration<double>(now - m_lastFinish).count();
+            if (m_elapsed > minElapsedSeconds)
                 m_rate = m_cost / m_elapsed;
         }
         m_lastFinish = now;
--- a/src/policy/waiting-room.cc
+++ b/src/policy/fair-queue.cc
@@ -1,4 +1,4 @@
-#include "src/policy/waiting-room.h"
+#include "src/policy/fair-queue.h"
 
 #include <algorithm>
 
@@ -6,16 +6,16 @@
 
 namespace {
 
-constexpr double smallestWeight = 1e-3;
+constexpr double minWeight = 1e-3;
 
-WaitingList& listOf(WaitingOrganisation& organisation, Priority priority)
+RequestList& listOf(OrganisationQueue& organisation, Priority priority)
 {
     return organisation.lists[static_cast<std::size_t>(priority)];
 }
 
 } // namespace
 
-std::uint32_t WaitingRoom::organisationSlot(const OrganisationName& name)
+std::uint32_t FairQueue::organisationSlot(const OrganisationName& name)
 {
     auto it = m_names.find(name);
     if (it != m_names.end())
@@ -34,24 +34,24 @@
     return slot;
 }
 
-const WaitingOrganisation* WaitingRoom::findOrganisation(const OrganisationName& name) const
+const OrganisationQueue* FairQueue::findOrganisation(const OrganisationName& name) const
 {
     auto it = m_names.find(name);
     return it == m_names.end() ? nullptr : &m_organisations[it->second];
 }
 
-void WaitingRoom::setWeight(const OrganisationName& name, double weight)
+void FairQueue::setWeight(const OrganisationName& name, double weight)
 {
     auto slot = organisationSlot(name);
     auto& organisation = m_organisations[slot];
-    auto usable = std::max(weight, smallestWeight);
+    auto effectiveWeight = std::max(weight, minWeight);
     if (organisation.backlog > Tokens(0))
-        m_activeWeight += usable - organisation.weight;
-    organisation.weight = usable;
+        m_activeWeight += effectiveWeight - organisation.weight;
+    organisation.weight = effectiveWeight;
     updateOrganisation(slot, Tokens(0));
 }
 
-void WaitingRoom::forget(const OrganisationName& name)
+void FairQueue::removeOrganisation(const OrganisationName& name)
 {
     auto it = m_names.find(name);
     if (it == m_names.end() || m_organisations[it->second].backlog > Tokens(0))
@@ -60,7 +60,7 @@
     m_names.erase(it);
 }
 
-void WaitingRoom::push(const AdmissionRequest& request, std::uint32_t organisation)
+void FairQueue::push(const AdmissionRequest& request, std::uint32_t organisation)
 {
     std::uint32_t slot;
     if (m_freeSlots.empty()) {
@@ -79,7 +79,7 @@
     updateOrganisation(organisation, cost);
 }
 
-WaitingRequest WaitingRoom::take(std::uint32_t slot)
+QueuedRequest FairQueue::remove(std::uint32_t slot)
 {
     auto request = m_requests[slot];
     unlink(slot);
@@ -90,7 +90,7 @@
     return request;
 }
 
-std::optional<std::uint32_t> WaitingRoom::find(AdmissionId id) const
+std::optional<std::uint32_t> FairQueue::find(AdmissionId id) const
 {
     auto it = m_slots.find(id.value());
     if (it == m_slots.end())
@@ -98,41 +98,41 @@
     return it->second;
 }
 
-std::optional<std::uint32_t> WaitingRoom::nextInTurn() const
+std::optional<std::uint32_t> FairQueue::nextRequest() const
 {
-    if (m_turns.empty())
+    if (m_schedule.empty())
         return std::nullopt;
-    for (auto& list : m_organisations[m_turns.topId()].lists) {
+    for (auto& list : m_organisations[m_schedule.topId()].lists) {
         if (list.first != noSlot)
             return list.first;
     }
     return std::nullopt;
 }
 
-void WaitingRoom::charge(std::uint32_t slot, Tokens cost)
+void FairQueue::charge(std::uint32_t slot, Tokens cost)
 {
     auto& organisation = m_organisations[slot];
     auto startTag = std::max(m_virtualTime, organisation.finishTag);
     m_virtualTime = startTag;
     organisation.finishTag = startTag + static_cast<double>(cost.value()) / organisation.weight;
     m_latestFinishTag = std::max(m_latestFinishTag, organisation.finishTag);
-    if (m_turns.contains(slot))
-        m_turns.set(slot, organisation.finishTag);
+    if (m_schedule.contains(slot))
+        m_schedule.set(slot, organisation.finishTag);
 }
 
-void WaitingRoom::onIdle()
+void FairQueue::onIdle()
 {
     m_virtualTime = m_latestFinishTag;
 }
 
-std::optional<TimePoint> WaitingRoom::earliestLatestStart() const
+std::optional<TimePoint> FairQueue::earliestLatestStart() const
 {
     if (m_latestStarts.empty())
         return std::nullopt;
     return m_latestStarts.topKey();
 }
 
-std::uint32_t WaitingRoom::newestOf(std::uint32_t organisation) const
+std::uint32_t FairQueue::newestOf(std::uint32_t organisation) const
 {
     auto& lists = m_organisations[organisation].lists;
     for (auto it = lists.rbegin(); it != lists.rend(); ++it) {
@@ -142,7 +142,7 @@
     return noSlot;
 }
 
-void WaitingRoom::link(std::uint32_t slot)
+void FairQueue::link(std::uint32_t slot)
 {
     auto& request = m_requests[slot];
     auto& list = listOf(m_organisations[request.organisation], request.priority);
@@ -152,7 +152,7 @@
     list.cost += request.cost;
 }
 
-void WaitingRoom::unlink(std::uint32_t slot)
+void FairQueue::unlink(std::uint32_t slot)
 {
     auto& request = m_requests[slot];
     auto& list = listOf(m_organisations[request.organisation], request.priority);
@@ -161,7 +161,7 @@
     list.cost -= request.cost;
 }
 
-void WaitingRoom::updateOrganisation(std::uint32_t slot, Tokens change)
+void FairQueue::updateOrganisation(std::uint32_t slot, Tokens change)
 {
     auto& organisation = m_organisations[slot];
     bool wasActive = organisation.backlog > Tokens(0);
@@ -170,16 +170,16 @@
     bool isActive = organisation.backlog > Tokens(0);
     if (isActive && !wasActive) {
         m_activeWeight += organisation.weight;
-        m_turns.set(slot, std::max(m_virtualTime, organisation.finishTag));
+        m_schedule.set(slot, std::max(m_virtualTime, organisation.finishTag));
     }
     if (!isActive && wasActive) {
         m_activeWeight -= organisation.weight;
-        m_turns.remove(slot);
+        m_schedule.remove(slot);
     }
     if (isActive)
-        m_largest.set(slot, -static_cast<double>(organisation.backlog.value()) / organisation.weight);
+        m_largestShares.set(slot, -static_cast<double>(organisation.backlog.value()) / organisation.weight);
     else
-        m_largest.remove(slot);
+        m_largestShares.remove(slot);
 }
 
 } // namespace swiftloft::policy::internal
--- a/src/policy/waiting-room.h
+++ b/src/policy/fair-queue.h
@@ -13,7 +13,7 @@
 
 constexpr std::uint32_t noSlot = 0xffffffff;
 
-struct WaitingRequest {
+struct QueuedRequest {
     AdmissionId id;
     Tokens cost;
     std::uint32_t organisation { 0 };
@@ -22,34 +22,34 @@
     std::uint32_t next { noSlot };
 };
 
-struct WaitingList {
+struct RequestList {
     std::uint32_t first { noSlot };
     std::uint32_t last { noSlot };
     Tokens cost;
 };
 
-struct WaitingOrganisation {
+struct OrganisationQueue {
     OrganisationName name;
     double weight { 1 };
     /// Virtual time at which the work started so far is paid for.
     double finishTag { 0 };
     Tokens backlog;
-    std::array<WaitingList, priorityCount> lists;
+    std::array<RequestList, priorityCount> lists;
 };
 
 /// The waiting requests, in lists by organisation and priority, with the orders in which they can leave.
-class WaitingRoom {
+class FairQueue {
 public:
     std::uint32_t organisationSlot(const OrganisationName& name);
-    const WaitingOrganisation* findOrganisation(const OrganisationName& name) const;
-    WaitingOrganisation& organisation(std::uint32_t slot) { return m_organisations[slot]; }
+    const OrganisationQueue* findOrganisation(const OrganisationName& name) const;
+    OrganisationQueue& organisation(std::uint32_t slot) { return m_organisations[slot]; }
     void setWeight(const OrganisationName& name, double weight);
-    void forget(const OrganisationName& name);
+    void removeOrganisation(const OrganisationName& name);
 
     void push(const AdmissionRequest& request, std::uint32_t organisation);
-    WaitingRequest take(std::uint32_t slot);
+    QueuedRequest remove(std::uint32_t slot);
     std::optional<std::uint32_t> find(AdmissionId id) const;
-    const WaitingRequest& at(std::uint32_t slot) const { return m_requests[slot]; }
+    const QueuedRequest& at(std::uint32_t slot) const { return m_requests[slot]; }
 
     std::size_t size() const { return m_slots.size(); }
     Tokens backlog() const { return m_backlog; }
@@ -57,7 +57,7 @@
     double activeWeight() const { return m_activeWeight; }
 
     /// First request of the organisation whose turn it is.
-    std::optional<std::uint32_t> nextInTurn() const;
+    std::optional<std::uint32_t> nextRequest() const;
     /// Charges a start to its organisation.
     void charge(std::uint32_t organisation, Tokens cost);
     /// Nothing waits and nothing runs: whoever used the idle servers owes nothing for it.
@@ -65,8 +65,8 @@
     std::optional<TimePoint> earliestLatestStart() const;
     std::uint32_t firstToExpire() const { return m_latestStarts.topId(); }
     /// The organisation with the most waiting for its weight, and that amount.
-    std::uint32_t largestOrganisation() const { return m_largest.topId(); }
-    double largestShare() const { return -m_largest.topKey(); }
+    std::uint32_t largestOrganisation() const { return m_largestShares.topId(); }
+    double largestShare() const { return -m_largestShares.topKey(); }
     std::uint32_t newestOf(std::uint32_t organisation) const;
 
 private:
@@ -74,14 +74,14 @@
     void unlink(std::uint32_t slot);
     void updateOrganisation(std::uint32_t organisation, Tokens change);
 
-    std::vector<WaitingRequest> m_requests;
+    std::vector<QueuedRequest> m_requests;
     std::vector<std::uint32_t> m_freeSlots;
     boost::unordered_flat_map<std::uint64_t, std::uint32_t> m_slots;
-    std::vector<WaitingOrganisation> m_organisations;
+    std::vector<OrganisationQueue> m_organisations;
     std::vector<std::uint32_t> m_freeOrganisations;
     boost::unordered_flat_map<OrganisationName, std::uint32_t, std::hash<OrganisationName>> m_names;
-    IndexedHeap<double> m_turns;
-    IndexedHeap<double> m_largest;
+    IndexedHeap<double> m_schedule;
+    IndexedHeap<double> m_largestShares;
     IndexedHeap<TimePoint> m_latestStarts;
     Tokens m_backlog;
     double m_activeWeight { 0 };
--- a/src/policy/fingerprint.cc
+++ b/src/policy/fingerprint.cc
@@ -33,13 +33,13 @@
                 addRaw(body.substr(begin, i - begin));
                 begin = i + 1;
             }
-            track(body[i]);
+            trackStrings(body[i]);
         }
         addRaw(body.substr(begin));
     }
 
 private:
-    void track(char c)
+    void trackStrings(char c)
     {
         if (m_isEscaped)
             m_isEscaped = false;
--- a/src/policy/request-home.cc
+++ b/src/policy/home-selector.cc
@@ -1,4 +1,4 @@
-#include <swiftloft/policy/request-home.h>
+#include <swiftloft/policy/home-selector.h>
 
 #include <xxhash.h>
 
@@ -23,19 +23,19 @@
 
 } // namespace
 
-RequestHome::RequestHome(RequestHomeOptions options)
+HomeSelector::HomeSelector(HomeSelectorOptions options)
     : m_options(options)
 {
 }
 
-Result<RequestHome> RequestHome::create(RequestHomeOptions options)
+Result<HomeSelector> HomeSelector::create(HomeSelectorOptions options)
 {
-    if (!options.homes || options.window.count() < 0)
+    if (!options.homesPerKey || options.window.count() < 0)
         return Error { ErrorCode::InvalidArgument, "request home: at least one home is needed, the window must not be negative" };
-    return RequestHome(options);
+    return HomeSelector(options);
 }
 
-void RequestHome::onList(ListRevision revision, std::vector<BackendServerId> agents, TimePoint now)
+void HomeSelector::onAgentList(ListRevision revision, std::vector<BackendServerId> agents, TimePoint now)
 {
     if (!m_views.empty() && revision <= m_views.front().revision)
         return;
@@ -45,12 +45,12 @@
     m_views.front().homes.resize(slotCount);
 }
 
-ListRevision RequestHome::revision() const
+ListRevision HomeSelector::revision() const
 {
     return m_views.empty() ? ListRevision(0) : m_views.front().revision;
 }
 
-std::vector<BackendServerId> RequestHome::homesOf(const ClientKey& key, TimePoint now)
+std::vector<BackendServerId> HomeSelector::homesOf(const ClientKey& key, TimePoint now)
 {
     while (m_views.size() > 1 && m_views.back().replacedAt + m_options.window < now)
         m_views.pop_back();
@@ -64,7 +64,7 @@
     return homes;
 }
 
-const std::vector<std::uint32_t>& RequestHome::homesInView(View& view, std::size_t slot) const
+const std::vector<std::uint32_t>& HomeSelector::homesInView(View& view, std::size_t slot) const
 {
     auto& homes = view.homes[slot];
     if (!homes.empty() || view.agents.empty())
@@ -72,7 +72,7 @@
     std::vector<std::pair<std::uint64_t, std::uint32_t>> scores(view.agents.size());
     for (std::uint32_t i = 0; i < view.agents.size(); ++i)
         scores[i] = { hashOf(view.agents[i].value(), slot + 1), i };
-    auto n = std::min(m_options.homes, scores.size());
+    auto n = std::min(m_options.homesPerKey, scores.size());
     std::partial_sort(scores.begin(), scores.begin() + static_cast<std::ptrdiff_t>(n), scores.end(), std::greater<> {});
     for (std::size_t i = 0; i < n; ++i)
         homes.push_back(scores[i].second);
--- a/src/policy/lent-bucket.h
+++ b/src/policy/lending-bucket.h
@@ -29,13 +29,13 @@
 }
 
 /// One entry's part of one limit: a token bucket, what was borrowed into it and what was lent out of it.
-class LentBucket {
+class LendingBucket {
 public:
-    /// No rate: not limited. A bucket that was not limited before starts empty at `yield`.
-    void setRate(std::optional<double> perSecond, double burstSeconds, double yield)
+    /// No rate: not limited. A bucket that was not limited before starts empty at `shareIntegral`.
+    void setRate(std::optional<double> perSecond, double burstSeconds, double shareIntegral)
     {
         if (!m_rate) {
-            m_yield = yield;
+            m_shareIntegral = shareIntegral;
             m_level = 0;
         }
         m_rate = perSecond;
@@ -43,17 +43,17 @@
     }
     bool isLimited() const { return m_rate.has_value(); }
 
-    /// `yield` is the integral of the share, `share` its value now.
-    void refill(double yield, double share, TimePoint now)
+    /// `shareIntegral` is the integral of the share, `share` its value now.
+    void refill(double shareIntegral, double share, TimePoint now)
     {
         std::erase_if(m_borrowed, [&](auto& it) { return it.expiresAt <= now; });
         std::erase_if(m_lent, [&](auto& it) { return it.expiresAt <= now; });
         if (!m_rate)
             return;
-        auto gained = *m_rate * (yield - m_yield);
-        m_yield = yield;
+        auto gained = *m_rate * (shareIntegral - m_shareIntegral);
+        m_shareIntegral = shareIntegral;
         m_share = share;
-        m_level = std::min(m_level + gained, room());
+        m_level = std::min(m_level + gained, maxLevel());
     }
 
     double available() const { return m_rate ? m_level + sumOf(m_borrowed) : std::numeric_limits<double>::infinity(); }
@@ -73,7 +73,7 @@
     /// Borrowed amounts first, those that end soonest before the others.
     void take(double amount, TimePoint now)
     {
-        m_takenAt = now;
+        m_lastUsedAt = now;
         std::sort(m_borrowed.begin(), m_borrowed.end(), [](auto& a, auto& b) { return a.expiresAt < b.expiresAt; });
         for (auto& it : m_borrowed) {
             auto part = std::min(it.amount, amount);
@@ -85,7 +85,7 @@
     }
 
     /// Bounded by the next refill, which comes before every use.
-    void giveBack(double amount) { m_level += amount; }
+    void refund(double amount) { m_level += amount; }
     void borrow(Lease lease) { m_borrowed.push_back(std::move(lease)); }
     const std::vector<Lease>& borrowed() const { return m_borrowed; }
 
@@ -95,7 +95,7 @@
     {
         if (!m_rate)
             return 0;
-        bool isIdle = std::chrono::duration<double>(now - m_takenAt).count() > m_burstSeconds;
+        bool isIdle = std::chrono::duration<double>(now - m_lastUsedAt).count() > m_burstSeconds;
         return std::max(0.0, m_level - (isIdle ? idleReserve : reserve) * burst());
     }
     void lend(Lease lease)
@@ -112,14 +112,14 @@
 private:
     /// Guards the burst of the whole fleet: were the bucket to fill up again while its grants are unused, both together
     /// would allow more at one time than the limit's burst.
-    double room() const { return std::max(0.0, burst() - sumOf(m_lent)); }
+    double maxLevel() const { return std::max(0.0, burst() - sumOf(m_lent)); }
 
     std::optional<double> m_rate;
     double m_burstSeconds { 0 };
     double m_share { 0 };
-    double m_yield { 0 };
+    double m_shareIntegral { 0 };
     double m_level { 0 };
-    TimePoint m_takenAt {};
+    TimePoint m_lastUsedAt {};
     std::vector<Lease> m_borrowed;
     std::vector<Lease> m_lent;
 };
--- a/src/policy/prefix-index.cc
+++ b/src/policy/prefix-index.cc
@@ -43,9 +43,9 @@
     return blocks;
 }
 
-PrefixIndex::PrefixIndex(std::size_t buckets, seconds forgetAfter)
+PrefixIndex::PrefixIndex(std::size_t buckets, seconds expireAfter)
     : m_buckets(buckets)
-    , m_forgetAfter(static_cast<std::uint32_t>(forgetAfter.count()))
+    , m_expireAfter(static_cast<std::uint32_t>(expireAfter.count()))
 {
 }
 
@@ -54,17 +54,17 @@
     constexpr std::size_t largest = std::size_t(1) << 24;
     if (options.capacity < ways || options.capacity > largest)
         return Error { ErrorCode::OutOfRange, "prefix index: capacity must be 4 to 16777216 places" };
-    if (options.forgetAfter.count() <= 0)
+    if (options.expireAfter.count() <= 0)
         return Error { ErrorCode::InvalidArgument, "prefix index: forget-after must be positive" };
-    return PrefixIndex(std::bit_ceil(options.capacity / ways), options.forgetAfter);
+    return PrefixIndex(std::bit_ceil(options.capacity / ways), options.expireAfter);
 }
 
-bool PrefixIndex::isBelieved(const Place& place, std::uint32_t tag, std::uint32_t now) const
+bool PrefixIndex::isValid(const Entry& entry, std::uint32_t tag, std::uint32_t now) const
 {
-    return place.epoch != noEpoch && place.tag == tag && place.epoch == m_epochs[place.slot] && now - place.usedAt <= m_forgetAfter;
+    return entry.epoch != noEpoch && entry.tag == tag && entry.epoch == m_epochs[entry.slot] && now - entry.usedAt <= m_expireAfter;
 }
 
-void PrefixIndex::remember(std::span<const BlockHash> blocks, ServerHandle server, TimePoint now)
+void PrefixIndex::insert(std::span<const BlockHash> blocks, ServerHandle server, TimePoint now)
 {
     if (server.slot >= m_epochs.size()) {
         m_epochs.resize(server.slot + 1, noEpoch + 1);
@@ -76,21 +76,21 @@
         ++m_epochs[server.slot];
     }
     for (auto block : blocks)
-        rememberBlock(block, server, wholeSeconds(now));
+        insertBlock(block, server, wholeSeconds(now));
 }
 
-void PrefixIndex::rememberBlock(BlockHash block, ServerHandle server, std::uint32_t now)
+void PrefixIndex::insertBlock(BlockHash block, ServerHandle server, std::uint32_t now)
 {
     auto tag = tagOf(block);
-    auto& places = bucketOf(block).places;
-    auto* chosen = &places[0];
-    for (auto& place : places) {
-        if (place.epoch != noEpoch && place.tag == tag && place.slot == server.slot) {
-            chosen = &place;
+    auto& entries = bucketOf(block).entries;
+    auto* chosen = &entries[0];
+    for (auto& entry : entries) {
+        if (entry.epoch != noEpoch && entry.tag == tag && entry.slot == server.slot) {
+            chosen = &entry;
             break;
         }
-        if (place.usedAt < chosen->usedAt)
-            chosen = &place;
+        if (entry.usedAt < chosen->usedAt)
+            chosen = &entry;
     }
     *chosen = { tag, server.slot, m_epochs[server.slot], now };
 }
@@ -100,9 +100,9 @@
     for (auto length = blocks.size(); length > 0; --length) {
         auto block = blocks[length - 1];
         std::size_t n = 0;
-        for (auto& place : bucketOf(block).places) {
-            if (isBelieved(place, tagOf(block), wholeSeconds(now)))
-                holders[n++] = { { place.slot, m_generations[place.slot] }, length };
+        for (auto& entry : bucketOf(block).entries) {
+            if (isValid(entry, tagOf(block), wholeSeconds(now)))
+                holders[n++] = { { entry.slot, m_generations[entry.slot] }, length };
         }
         if (n)
             return n;
@@ -112,13 +112,13 @@
 
 void PrefixIndex::evict(BlockHash block, ServerHandle server)
 {
-    for (auto& place : bucketOf(block).places) {
-        if (place.tag == tagOf(block) && place.slot == server.slot)
-            place = {};
+    for (auto& entry : bucketOf(block).entries) {
+        if (entry.tag == tagOf(block) && entry.slot == server.slot)
+            entry = {};
     }
 }
 
-void PrefixIndex::forget(ServerHandle server)
+void PrefixIndex::invalidate(ServerHandle server)
 {
     if (server.slot < m_epochs.size() && m_generations[server.slot] == server.generation)
         ++m_epochs[server.slot];
--- a/src/policy/retry-budget.cc
+++ b/src/policy/retry-budget.cc
@@ -52,7 +52,7 @@
     return true;
 }
 
-void RetryBudget::forget(const OrganisationName& organisation)
+void RetryBudget::removeOrganisation(const OrganisationName& organisation)
 {
     boost::unordered::erase_if(m_credits, [&](auto& entry) { return entry.first.organisation == organisation; });
 }
--- a/src/policy/retry-policy.cc
+++ b/src/policy/retry-policy.cc
@@ -45,7 +45,7 @@
         // Re-attaching sends no new work to an engine, so it takes nothing from the budget.
         return { RetryAction::Resume, RetryReason::Allowed, start, attempt.delivered, seconds(0), attempt.verdict };
     }
-    auto reason = reasonAgainstRetry(attempt, start);
+    auto reason = checkRetry(attempt, start);
     if (reason == RetryReason::Allowed && !budget.tryTake(attempt.traffic, now))
         reason = RetryReason::BudgetSpent;
     if (reason != RetryReason::Allowed)
@@ -53,7 +53,7 @@
     return { RetryAction::Retry, RetryReason::Allowed, start, OutputOffset(0), seconds(0), attempt.verdict };
 }
 
-RetryReason RetryPolicy::reasonAgainstRetry(const FailedAttempt& attempt, TimePoint start) const
+RetryReason RetryPolicy::checkRetry(const FailedAttempt& attempt, TimePoint start) const
 {
     if (!mayRetry(attempt.verdict, attempt.isRepeatable))
         return RetryReason::MayHaveRun;
--- a/src/policy/router.cc
+++ b/src/policy/router.cc
@@ -41,15 +41,15 @@
     return choice.chargedPrompt + choice.chargedOutput;
 }
 
-void changeOwn(Server& server, Tokens change, TimePoint now)
+void adjustOwnInFlight(Server& server, Tokens change, TimePoint now)
 {
     server.ownInFlight += change;
-    server.recent.add(now, change);
+    server.recentChanges.add(now, change);
 }
 
 bool wasTried(const RouteRequest& request, ServerHandle server)
 {
-    return std::find(request.tried.begin(), request.tried.end(), server) != request.tried.end();
+    return std::find(request.triedServers.begin(), request.triedServers.end(), server) != request.triedServers.end();
 }
 
 } // namespace
@@ -97,10 +97,10 @@
         return description.region == options.region ? Tier::Region : Tier::Far;
     }
 
-    Candidate measure(std::uint32_t slot, std::size_t cachedBlocks, const RouteRequest& request, TimePoint now) const
+    Candidate estimate(std::uint32_t slot, std::size_t cachedBlocks, const RouteRequest& request, TimePoint now) const
     {
         auto& server = servers.slot(slot);
-        auto pending = static_cast<double>(server.ownInFlight.value()) + std::max(0.0, server.others);
+        auto pending = static_cast<double>(server.ownInFlight.value()) + std::max(0.0, server.othersInFlight);
         auto speed = server.tokensPerSecond > 0 ? server.tokensPerSecond : options.defaultTokensPerSecond;
         auto perToken = server.health.slowFactor(options.health, now) * microsecondsPerSecond / speed;
         auto wait = penalty(server.tier) + pending * perToken;
@@ -127,8 +127,8 @@
         if (active.empty())
             return std::nullopt;
         boost::random::uniform_int_distribution<std::size_t> draw(0, active.size() - 1);
-        bool comparesAll = active.size() <= options.compareAllUpTo;
-        auto n = comparesAll ? active.size() : options.samples;
+        bool comparesAll = active.size() <= options.fullScanLimit;
+        auto n = comparesAll ? active.size() : options.sampleCount;
         // Starting anywhere spreads equal servers.
         auto start = draw(generator);
         std::optional<Candidate> best;
@@ -136,7 +136,7 @@
             auto slot = comparesAll ? active[(start + i) % active.size()] : active[draw(generator)];
             if (wasTried(request, servers.handleOf(slot)))
                 continue;
-            auto candidate = measure(slot, 0, request, now);
+            auto candidate = estimate(slot, 0, request, now);
             // By first byte and not by wait: an idle slow server has no wait and a long prefill.
             if (!best || candidate.firstByte < best->firstByte)
                 best = candidate;
@@ -146,13 +146,13 @@
 
     std::optional<Candidate> bestOfAllTiers(const RouteRequest& request, TimePoint now, Generator& generator) const
     {
-        auto spillAfter = static_cast<double>(microseconds(options.spillAfter).count());
+        auto spillThreshold = static_cast<double>(microseconds(options.spillThreshold).count());
         std::optional<Candidate> best;
         for (std::size_t i = 0; i < tierCount; ++i) {
             auto candidate = bestOf(static_cast<Tier>(i), request, now, generator);
             if (candidate && (!best || candidate->firstByte < best->firstByte))
                 best = candidate;
-            if (best && best->wait <= spillAfter)
+            if (best && best->wait <= spillThreshold)
                 break;
         }
         return best;
@@ -167,7 +167,7 @@
             auto* server = servers.at(holders[i].server);
             if (!server || server->state != ServerState::Active || wasTried(request, holders[i].server))
                 continue;
-            auto candidate = measure(holders[i].server.slot, holders[i].blocks, request, now);
+            auto candidate = estimate(holders[i].server.slot, holders[i].blocks, request, now);
             if (!best || candidate.firstByte < best->firstByte)
                 best = candidate;
         }
@@ -189,7 +189,7 @@
     /// Guards against a hot spot: a prefix that most requests share would draw all of them to its first holder, whose
     /// queue grows while others idle. The holder is taken only while its first byte stays near the best one's; the server
     /// taken instead becomes a holder too, so the prefix spreads as far as its traffic needs.
-    bool isAffinityWorthIt(const Candidate& holder, const Candidate& best) const
+    bool isAffinityWorthwhile(const Candidate& holder, const Candidate& best) const
     {
         auto saved = best.firstByte - best.wait - (holder.firstByte - holder.wait);
         return holder.firstByte <= options.affinityFactor * best.firstByte + options.savingsWeight * std::max(0.0, saved);
@@ -211,9 +211,9 @@
 
 Result<Router> Router::create(RouterOptions options)
 {
-    if (!options.samples || !(options.defaultTokensPerSecond > 0))
+    if (!options.sampleCount || !(options.defaultTokensPerSecond > 0))
         return Error { ErrorCode::InvalidArgument, "router: samples and default speed must be positive" };
-    if (!(options.affinityFactor >= 0) || !(options.savingsWeight >= 0) || !(options.reportWeight > 0 && options.reportWeight <= 1) || !(options.minimumActive >= 0 && options.minimumActive <= 1))
+    if (!(options.affinityFactor >= 0) || !(options.savingsWeight >= 0) || !(options.reportWeight > 0 && options.reportWeight <= 1) || !(options.minActiveShare >= 0 && options.minActiveShare <= 1))
         return Error { ErrorCode::InvalidArgument, "router: affinity factor and savings weight must not be negative, report weight must be in (0, 1], minimum active must be 0 to 1" };
     auto prefixes = PrefixIndex::create(options.prefixes);
     if (!prefixes)
@@ -228,13 +228,13 @@
 
 void Router::remove(ServerHandle server)
 {
-    m_state->prefixes.forget(server);
+    m_state->prefixes.invalidate(server);
     m_state->servers.remove(server);
 }
 
-void Router::leaving(ServerHandle server)
+void Router::markLeaving(ServerHandle server)
 {
-    m_state->servers.leave(server);
+    m_state->servers.markLeaving(server);
 }
 
 std::optional<ServerHandle> Router::find(const BackendServerId& id) const
@@ -258,10 +258,10 @@
     auto due = m_state->servers.dueForProbe(now);
     // Only a request that can be sent again may be risked on a server that failed before.
     if (due && request.isRepeatable && !wasTried(request, m_state->servers.handleOf(*due)))
-        return m_state->choiceOf(m_state->measure(*due, 0, request, now), RouteReason::Probe, request);
+        return m_state->choiceOf(m_state->estimate(*due, 0, request, now), RouteReason::Probe, request);
     auto best = m_state->bestOfAllTiers(request, now, generator);
     auto holder = m_state->bestHolder(request, now);
-    if (holder && (!best || m_state->isAffinityWorthIt(*holder, *best)))
+    if (holder && (!best || m_state->isAffinityWorthwhile(*holder, *best)))
         return m_state->choiceOf(*holder, RouteReason::PrefixCached, request);
     if (!best)
         return std::nullopt;
@@ -274,10 +274,10 @@
     auto* server = m_state->servers.at(choice.server);
     if (!server)
         return;
-    changeOwn(*server, chargedBy(choice), now);
+    adjustOwnInFlight(*server, chargedBy(choice), now);
     if (choice.reason == RouteReason::Probe)
         m_state->servers.suspendProbe(choice.server.slot);
-    m_state->prefixes.remember(request.prefix, choice.server, now);
+    m_state->prefixes.insert(request.prefix, choice.server, now);
 }
 
 void Router::onFirstByte(RouteChoice& choice, microseconds observed, TimePoint now)
@@ -286,7 +286,7 @@
     auto* server = m_state->servers.at(choice.server);
     if (!server)
         return;
-    changeOwn(*server, Tokens(0) - prompt, now);
+    adjustOwnInFlight(*server, Tokens(0) - prompt, now);
     server->health.onFirstByte(choice.expectedFirstByte, observed, m_state->baseline, m_state->options.health, now);
 }
 
@@ -301,30 +301,30 @@
     auto* server = m_state->servers.at(choice.server);
     if (!server)
         return;
-    changeOwn(*server, Tokens(0) - chargedBy(choice), now);
+    adjustOwnInFlight(*server, Tokens(0) - chargedBy(choice), now);
     server->health.onSuccess(m_state->options.health, now);
     m_state->servers.activate(choice.server);
 }
 
-void Router::onFail(const RouteChoice& choice, FailureKind kind, TimePoint now)
+void Router::onFailure(const RouteChoice& choice, FailureKind kind, TimePoint now)
 {
     auto* server = m_state->servers.at(choice.server);
     if (!server)
         return;
-    changeOwn(*server, Tokens(0) - chargedBy(choice), now);
+    adjustOwnInFlight(*server, Tokens(0) - chargedBy(choice), now);
     if (kind == FailureKind::Crashed)
-        m_state->prefixes.forget(choice.server);
-    auto wasProbed = server->isProbed;
+        m_state->prefixes.invalidate(choice.server);
+    auto wasProbed = server->isBeingProbed;
     if (kind == FailureKind::Refused) {
         // An agent that refuses for lack of room is alive.
         m_state->servers.activate(choice.server);
         return;
     }
-    bool isBad = server->health.onFailure(kind, m_state->options.health, now);
+    bool isEjectionDue = server->health.onFailure(kind, m_state->options.health, now);
     // When most servers fail the cause is rarely the servers, and the few left would drown: better to keep trying.
     auto left = static_cast<double>(m_state->servers.activeCount()) - (server->state == ServerState::Active ? 1 : 0);
-    bool leavesEnough = left >= m_state->options.minimumActive * static_cast<double>(m_state->servers.size());
-    if (wasProbed || (isBad && leavesEnough))
+    bool leavesEnough = left >= m_state->options.minActiveShare * static_cast<double>(m_state->servers.size());
+    if (wasProbed || (isEjectionDue && leavesEnough))
         m_state->servers.eject(choice.server);
 }
 
@@ -335,9 +335,9 @@
     if (!found || report.sampledAt < found->sampledAt)
         return;
     found->sampledAt = report.sampledAt;
-    auto ownAtSample = found->ownInFlight - found->recent.sumAfter(report.sampledAt);
+    auto ownAtSample = found->ownInFlight - found->recentChanges.sumAfter(report.sampledAt);
     auto others = static_cast<double>(std::max(Tokens(0), report.pending - std::max(Tokens(0), ownAtSample)).value());
-    found->others = found->others < 0 ? others : found->others + m_state->options.reportWeight * (others - found->others);
+    found->othersInFlight = found->othersInFlight < 0 ? others : found->othersInFlight + m_state->options.reportWeight * (others - found->othersInFlight);
     if (report.tokensPerSecond > 0)
         found->tokensPerSecond = report.tokensPerSecond;
 }
@@ -349,7 +349,7 @@
 
 void Router::onCacheLost(ServerHandle server)
 {
-    m_state->prefixes.forget(server);
+    m_state->prefixes.invalidate(server);
 }
 
 std::vector<RouteExplanation> Router::explain(const RouteRequest& request, TimePoint now) const
@@ -362,7 +362,7 @@
         if (!server.isUsed)
             continue;
         auto holder = std::find_if(holders.begin(), holders.begin() + n, [&](auto& it) { return it.server == m_state->servers.handleOf(slot); });
-        auto candidate = m_state->measure(slot, holder == holders.begin() + n ? 0 : holder->blocks, request, now);
+        auto candidate = m_state->estimate(slot, holder == holders.begin() + n ? 0 : holder->blocks, request, now);
         rows.push_back({ server.id, server.state, microseconds(static_cast<std::int64_t>(candidate.wait)),
             microseconds(static_cast<std::int64_t>(candidate.firstByte)), candidate.cachedBlocks,
             server.health.slowFactor(m_state->options.health, now), server.ownInFlight, server.tier == Tier::DataCentre });
--- a/src/policy/server-health.cc
+++ b/src/policy/server-health.cc
@@ -7,12 +7,12 @@
 
 namespace {
 
-void average(double& mean, double value, double weight)
+void updateAverage(double& mean, double value, double weight)
 {
     mean = mean > 0 ? mean + weight * (value - mean) : value;
 }
 
-double excess(double value, double median, double tolerance)
+double slowdown(double value, double median, double tolerance)
 {
     if (median <= 0 || value <= median * tolerance)
         return 1;
@@ -40,24 +40,24 @@
 {
     auto n = static_cast<double>(gap.count());
     baseline.tokenGap.add(n);
-    average(m_tokenGap, n, options.weight);
+    updateAverage(m_tokenGap, n, options.weight);
     updateFactor(baseline, options, now);
 }
 
 void ServerHealth::onFirstByte(microseconds predicted, microseconds observed, ServiceBaseline& baseline, const ServerHealthOptions& options, TimePoint now)
 {
     // Predictions of next to nothing make wild ratios.
-    constexpr double shortest = 1000;
-    auto ratio = std::max(shortest, static_cast<double>(observed.count())) / std::max(shortest, static_cast<double>(predicted.count()));
+    constexpr double minMicroseconds = 1000;
+    auto ratio = std::max(minMicroseconds, static_cast<double>(observed.count())) / std::max(minMicroseconds, static_cast<double>(predicted.count()));
     baseline.firstByteRatio.add(ratio);
-    average(m_firstByteRatio, ratio, options.weight);
+    updateAverage(m_firstByteRatio, ratio, options.weight);
     updateFactor(baseline, options, now);
 }
 
 void ServerHealth::updateFactor(const ServiceBaseline& baseline, const ServerHealthOptions& options, TimePoint now)
 {
-    auto gap = excess(m_tokenGap, baseline.tokenGap.value(), options.gapTolerance);
-    auto firstByte = excess(m_firstByteRatio, baseline.firstByteRatio.value(), options.firstByteTolerance);
+    auto gap = slowdown(m_tokenGap, baseline.tokenGap.value(), options.gapTolerance);
+    auto firstByte = slowdown(m_firstByteRatio, baseline.firstByteRatio.value(), options.firstByteTolerance);
     m_factor = std::min(std::max(gap, firstByte), options.maximumFactor);
     m_observedAt = now;
 }
@@ -67,7 +67,7 @@
     m_failures = 0;
     m_failureShare *= 1 - options.weight;
     // A server that fails every other request succeeds in between; only a longer good stretch clears its record.
-    if (now >= m_ejectedUntil + options.longestEjection)
+    if (now >= m_ejectedUntil + options.maxEjection)
         m_ejections = 0;
 }
 
@@ -77,14 +77,14 @@
         return false;
     ++m_failures;
     m_failureShare += options.weight * (1 - m_failureShare);
-    bool isBad = kind == FailureKind::Crashed || m_failures >= options.failuresToEject || m_failureShare >= options.failureShareToEject;
-    if (!isBad && !m_ejections)
+    bool isFailing = kind == FailureKind::Crashed || m_failures >= options.failuresToEject || m_failureShare >= options.failureShareToEject;
+    if (!isFailing && !m_ejections)
         return false;
-    constexpr unsigned mostDoublings = 16;
-    auto stretch = std::int64_t(1) << std::min(m_ejections, mostDoublings);
+    constexpr unsigned maxDoublings = 16;
+    auto multiplier = std::int64_t(1) << std::min(m_ejections, maxDoublings);
     ++m_ejections;
     m_failureShare = 0;
-    m_ejectedUntil = now + std::min(options.firstEjection * stretch, options.longestEjection);
+    m_ejectedUntil = now + std::min(options.initialEjection * multiplier, options.maxEjection);
     return true;
 }
 
@@ -93,8 +93,8 @@
     if (m_factor <= 1)
         return 1;
     auto age = std::chrono::duration<double>(now - m_observedAt).count();
-    auto belief = 1 - age / static_cast<double>(options.forgetAfter.count());
-    return belief <= 0 ? 1 : 1 + (m_factor - 1) * belief;
+    auto confidence = 1 - age / static_cast<double>(options.expireAfter.count());
+    return confidence <= 0 ? 1 : 1 + (m_factor - 1) * confidence;
 }
 
 } // namespace swiftloft::policy
--- a/src/policy/server-table.cc
+++ b/src/policy/server-table.cc
@@ -23,12 +23,12 @@
     if (auto known = find(description.id))
         return *known;
     std::uint32_t n;
-    if (m_free.empty()) {
+    if (m_freeSlots.empty()) {
         n = static_cast<std::uint32_t>(m_servers.size());
         m_servers.emplace_back();
     } else {
-        n = m_free.back();
-        m_free.pop_back();
+        n = m_freeSlots.back();
+        m_freeSlots.pop_back();
     }
     auto generation = m_servers[n].generation + 1;
     m_servers[n] = {};
@@ -46,10 +46,10 @@
 {
     if (!at(handle))
         return;
-    leave(handle);
+    markLeaving(handle);
     m_ids.erase(m_servers[handle.slot].id);
     m_servers[handle.slot].isUsed = false;
-    m_free.push_back(handle.slot);
+    m_freeSlots.push_back(handle.slot);
 }
 
 std::optional<ServerHandle> ServerTable::find(const BackendServerId& id) const
@@ -89,8 +89,8 @@
     auto& servers = m_active[static_cast<std::size_t>(server->tier)];
     m_ejected.remove(handle.slot);
     server->state = ServerState::Active;
-    server->isProbed = false;
-    server->position = static_cast<std::uint32_t>(servers.size());
+    server->isBeingProbed = false;
+    server->activeIndex = static_cast<std::uint32_t>(servers.size());
     servers.push_back(handle.slot);
 }
 
@@ -99,18 +99,18 @@
     auto* server = at(handle);
     if (!server || server->state == ServerState::Leaving)
         return;
-    takeOffActive(handle.slot);
+    removeFromActive(handle.slot);
     server->state = ServerState::Ejected;
-    server->isProbed = false;
+    server->isBeingProbed = false;
     m_ejected.set(handle.slot, server->health.ejectedUntil());
 }
 
-void ServerTable::leave(ServerHandle handle)
+void ServerTable::markLeaving(ServerHandle handle)
 {
     auto* server = at(handle);
     if (!server)
         return;
-    takeOffActive(handle.slot);
+    removeFromActive(handle.slot);
     m_ejected.remove(handle.slot);
     server->state = ServerState::Leaving;
 }
@@ -124,18 +124,18 @@
 
 void ServerTable::suspendProbe(std::uint32_t n)
 {
-    m_servers[n].isProbed = true;
+    m_servers[n].isBeingProbed = true;
     m_ejected.remove(n);
 }
 
-void ServerTable::takeOffActive(std::uint32_t n)
+void ServerTable::removeFromActive(std::uint32_t n)
 {
     auto& server = m_servers[n];
     if (server.state != ServerState::Active)
         return;
     auto& servers = m_active[static_cast<std::size_t>(server.tier)];
-    servers[server.position] = servers.back();
-    m_servers[servers.back()].position = server.position;
+    servers[server.activeIndex] = servers.back();
+    m_servers[servers.back()].activeIndex = server.activeIndex;
     servers.pop_back();
 }
 
--- a/src/policy/server-table.h
+++ b/src/policy/server-table.h
@@ -39,17 +39,17 @@
 struct Server {
     Tokens ownInFlight;
     /// Smoothed work of other entries; negative until the first report.
-    double others { -1 };
+    double othersInFlight { -1 };
     double tokensPerSecond { 0 };
     ServerHealth health;
     std::uint32_t generation { 0 };
-    std::uint32_t position { 0 };
+    std::uint32_t activeIndex { 0 };
     Tier tier { Tier::DataCentre };
     ServerState state { ServerState::Active };
     bool isUsed { false };
-    bool isProbed { false };
+    bool isBeingProbed { false };
     TimePoint sampledAt {};
-    RecentChanges recent;
+    RecentChanges recentChanges;
     BackendServerId id;
 };
 
@@ -73,17 +73,17 @@
     std::size_t activeCount() const;
     void activate(ServerHandle handle);
     void eject(ServerHandle handle);
-    void leave(ServerHandle handle);
+    void markLeaving(ServerHandle handle);
     /// The ejected server that may be probed soonest, if its time has come.
     std::optional<std::uint32_t> dueForProbe(TimePoint now) const;
     /// Keeps a server that is being probed out of `dueForProbe`.
     void suspendProbe(std::uint32_t n);
 
 private:
-    void takeOffActive(std::uint32_t n);
+    void removeFromActive(std::uint32_t n);
 
     std::vector<Server> m_servers;
-    std::vector<std::uint32_t> m_free;
+    std::vector<std::uint32_t> m_freeSlots;
     std::array<std::vector<std::uint32_t>, tierCount> m_active;
     IndexedHeap<TimePoint> m_ejected;
     boost::unordered_flat_map<BackendServerId, std::uint32_t, std::hash<BackendServerId>> m_ids;
--- a/src/policy/ticket.cc
+++ b/src/policy/ticket.cc
@@ -14,8 +14,8 @@
 constexpr std::size_t numberLength = 16;
 constexpr std::size_t numberCount = 5;
 constexpr std::size_t agentOffset = prefix.size() + numberCount * (numberLength + 1);
-constexpr std::size_t longestKey = 256;
-constexpr std::size_t longestAgent = longestKey - agentOffset;
+constexpr std::size_t maxKeyLength = 256;
+constexpr std::size_t maxAgentLength = maxKeyLength - agentOffset;
 
 bool isAgentCharacter(char c)
 {
@@ -25,7 +25,7 @@
 
 bool isAgentName(std::string_view text)
 {
-    return !text.empty() && text.size() <= longestAgent && std::all_of(text.begin(), text.end(), isAgentCharacter);
+    return !text.empty() && text.size() <= maxAgentLength && std::all_of(text.begin(), text.end(), isAgentCharacter);
 }
 
 bool isNumber(std::string_view text)
@@ -48,9 +48,9 @@
     return XXH3_64bits_withSeed(covered.data(), covered.size(), seed);
 }
 
-Error malformed(std::string_view why)
+Error malformed(std::string_view reason)
 {
-    return Error { ErrorCode::MalformedInput, fmt::format("request key: {}", why) };
+    return Error { ErrorCode::MalformedInput, fmt::format("request key: {}", reason) };
 }
 
 } // namespace
@@ -58,7 +58,7 @@
 Result<RequestKey> TicketCodec::encode(const Ticket& ticket, const OrganisationName& organisation)
 {
     if (!isAgentName(ticket.agent.value()))
-        return Error { ErrorCode::InvalidArgument, fmt::format("ticket: an agent's id must be 1 to {} characters of A-Za-z0-9._:-", longestAgent) };
+        return Error { ErrorCode::InvalidArgument, fmt::format("ticket: an agent's id must be 1 to {} characters of A-Za-z0-9._:-", maxAgentLength) };
     auto numbers = fmt::format("{}{:016x}.{:016x}.{:016x}.{:016x}.", prefix, ticket.agentIncarnation.value(), ticket.epoch.value(), ticket.mintedBy.value(), ticket.serial);
     auto sum = checksum(numbers, ticket.agent.value(), organisation);
     return RequestKey(fmt::format("{}{:016x}.{}", numbers, sum, ticket.agent.value()));
@@ -66,9 +66,9 @@
 
 Result<Ticket> TicketCodec::decode(std::string_view text, const OrganisationName& organisation)
 {
-    if (!looksLikeTicket(text))
+    if (!hasTicketPrefix(text))
         return malformed("not a ticket");
-    if (text.size() <= agentOffset || text.size() > longestKey)
+    if (text.size() <= agentOffset || text.size() > maxKeyLength)
         return malformed("wrong length");
     std::uint64_t numbers[numberCount] = {};
     for (std::size_t i = 0; i < numberCount; ++i) {
@@ -86,7 +86,7 @@
     return Ticket { BackendServerId(std::string(agent)), Incarnation(numbers[0]), MintEpoch(numbers[1]), Incarnation(numbers[2]), numbers[3] };
 }
 
-bool TicketCodec::looksLikeTicket(std::string_view text)
+bool TicketCodec::hasTicketPrefix(std::string_view text)
 {
     return text.substr(0, prefix.size()) == prefix;
 }
--- a/test/admission-queue_test.cc
+++ b/test/admission-queue_test.cc
@@ -168,7 +168,7 @@
     CHECK(finish() == 3);
     CHECK(finish() == 0);
     CHECK(queue.inFlight() == Tokens(0));
-    queue.forget(OrganisationName("cafe"));
+    queue.removeOrganisation(OrganisationName("cafe"));
     CHECK(arrive(4, "other")[0].action == AdmissionAction::Start);
 }
 
--- a/test/agent-reducer_test.cc
+++ b/test/agent-reducer_test.cc
@@ -49,7 +49,7 @@
         ReducerOptions options;
         options.self = self;
         options.incarnation = incarnation;
-        options.claims.refusesWhileYoung = false;
+        options.claims.hasStartupGracePeriod = false;
         return options;
     }
 
--- a/test/claim-protocol_test.cc
+++ b/test/claim-protocol_test.cc
@@ -1,6 +1,6 @@
-#include <swiftloft/policy/claim-desk.h>
 #include <swiftloft/policy/claim-protocol.h>
-#include <swiftloft/policy/request-home.h>
+#include <swiftloft/policy/claim-table.h>
+#include <swiftloft/policy/home-selector.h>
 
 #include <catch2/catch.hpp>
 #include <fmt/format.h>
@@ -17,9 +17,9 @@
 
 const TimePoint start { seconds(100000) };
 const ClientKey key { OrganisationName("cafe"), RequestKey("permit-17") };
-const ClaimDeskOptions deskOptions { .retention = seconds(600), .claimLease = seconds(10), .staleListTolerance = seconds(5), .capacity = 100 };
+const ClaimTableOptions tableOptions { .retention = seconds(600), .claimLease = seconds(10), .staleListTolerance = seconds(5), .capacity = 100 };
 /// A time that outlives a claim's lease but not the promise to the client.
-constexpr seconds pastLease { 11 };
+constexpr seconds beyondLease { 11 };
 
 std::vector<BackendServerId> agentNames(int n)
 {
@@ -30,9 +30,9 @@
     return names;
 }
 
-ClaimDesk oldDesk(std::uint64_t incarnation = 1)
+ClaimTable establishedTable(std::uint64_t incarnation = 1)
 {
-    return ClaimDesk::create(deskOptions, Incarnation(incarnation), start - seconds(1000)).value();
+    return ClaimTable::create(tableOptions, Incarnation(incarnation), start - seconds(1000)).value();
 }
 
 ClaimRequest claimOf(std::uint64_t entry, std::uint64_t revision = 1)
@@ -40,30 +40,30 @@
     return { key, { Incarnation(entry), 1 }, ListRevision(revision), {} };
 }
 
-std::vector<BackendServerId> homesUnder(const std::vector<BackendServerId>& agents, std::size_t homes = 3)
+std::vector<BackendServerId> homesFor(const std::vector<BackendServerId>& agents, std::size_t homes = 3)
 {
-    auto home = RequestHome::create({ .homes = homes }).value();
-    home.onList(ListRevision(1), agents, start);
+    auto home = HomeSelector::create({ .homesPerKey = homes }).value();
+    home.onAgentList(ListRevision(1), agents, start);
     return home.homesOf(key, start);
 }
 
 /// What happens to the fleet before one of the steps.
-struct Disturbance {
-    std::size_t before { 0 };
+struct Fault {
+    std::size_t beforeStep { 0 };
     /// Agent that restarts with empty memory; none: time passes beyond the lease.
     std::optional<BackendServerId> restarted;
 };
 
 /// Two entries that were sent the same key, each with its own list, and the agents. Each step delivers one message of
 /// one entry and its reply.
-class TwoEntries {
+class TwoEntrySimulation {
 public:
-    TwoEntries(const std::vector<BackendServerId>& homesA, const std::vector<BackendServerId>& homesB)
+    TwoEntrySimulation(const std::vector<BackendServerId>& homesA, const std::vector<BackendServerId>& homesB)
         : m_protocols { ClaimProtocol(claimOf(1, 1), homesA), ClaimProtocol(claimOf(2, 2), homesB) }
     {
         for (auto* homes : { &homesA, &homesB }) {
             for (auto& name : *homes)
-                m_desks.try_emplace(name, oldDesk());
+                m_tables.try_emplace(name, establishedTable());
         }
         for (std::size_t i = 0; i < 2; ++i)
             push(i, m_protocols[i].start());
@@ -78,23 +78,23 @@
         auto& protocol = m_protocols[entry];
         auto& claim = protocol.request().claim;
         if (effect.kind == ClaimEffectKind::SendClaim)
-            push(entry, protocol.onReply(effect.to, m_desks.at(effect.to).onClaim(protocol.request(), m_now)));
+            push(entry, protocol.onReply(effect.to, m_tables.at(effect.to).onClaim(protocol.request(), m_now)));
         if (effect.kind == ClaimEffectKind::SendRelease)
-            m_desks.at(effect.to).onRelease(key, claim);
+            m_tables.at(effect.to).onRelease(key, claim);
         if (effect.kind == ClaimEffectKind::SendRun) {
-            auto answer = m_desks.at(effect.to).onRun(key, claim, effect.incarnation, m_now);
+            auto answer = m_tables.at(effect.to).onRun(key, claim, effect.incarnation, m_now);
             m_runs += answer == RunAnswer::Run ? 1 : 0;
             push(entry, protocol.onRunAnswer(answer));
         }
         return true;
     }
 
-    void disturb(const Disturbance& disturbance)
+    void inject(const Fault& fault)
     {
-        if (disturbance.restarted)
-            m_desks.at(*disturbance.restarted) = ClaimDesk::create(deskOptions, Incarnation(++m_incarnation), m_now).value();
+        if (fault.restarted)
+            m_tables.at(*fault.restarted) = ClaimTable::create(tableOptions, Incarnation(++m_incarnation), m_now).value();
         else
-            m_now += pastLease;
+            m_now += beyondLease;
     }
 
     int runs() const { return m_runs; }
@@ -107,29 +107,29 @@
 
     std::array<ClaimProtocol, 2> m_protocols;
     std::array<std::deque<ClaimEffect>, 2> m_queues;
-    std::map<BackendServerId, ClaimDesk> m_desks;
+    std::map<BackendServerId, ClaimTable> m_tables;
     TimePoint m_now { start };
     std::uint64_t m_incarnation { 1 };
     int m_runs { 0 };
 };
 
 /// Runs every order of the two entries' steps with the disturbances; returns the most runs of the key in any.
-int mostRuns(const std::vector<BackendServerId>& homesA, const std::vector<BackendServerId>& homesB, const std::vector<Disturbance>& disturbances, int& leastRuns)
+int maxRuns(const std::vector<BackendServerId>& homesA, const std::vector<BackendServerId>& homesB, const std::vector<Fault>& faults, int& leastRuns)
 {
     constexpr unsigned stepsInOrder = 10;
     int most = 0;
     for (unsigned order = 0; order < 1U << stepsInOrder; ++order) {
-        TwoEntries world(homesA, homesB);
+        TwoEntrySimulation simulation(homesA, homesB);
         for (std::size_t i = 0; i < stepsInOrder; ++i) {
-            for (auto& disturbance : disturbances) {
-                if (disturbance.before == i)
-                    world.disturb(disturbance);
+            for (auto& fault : faults) {
+                if (fault.beforeStep == i)
+                    simulation.inject(fault);
             }
-            world.step(order >> i & 1U);
+            simulation.step(order >> i & 1U);
         }
-        while (world.step(0) || world.step(1)) { }
-        most = std::max(most, world.runs());
-        leastRuns = std::min(leastRuns, world.runs());
+        while (simulation.step(0) || simulation.step(1)) { }
+        most = std::max(most, simulation.runs());
+        leastRuns = std::min(leastRuns, simulation.runs());
     }
     return most;
 }
@@ -151,15 +151,15 @@
 {
     // An owner sends a permit with her own key, hears nothing and sends it again through another entry, whose list of
     // agents is newer. Both entries reach an agent that is ready to run it.
-    auto homes = homesUnder(agentNames(12));
+    auto homes = homesFor(agentNames(12));
     REQUIRE(homes.size() == 3);
     for (std::size_t common = 1; common <= 3; ++common) {
         int least = 1;
         CAPTURE(common);
-        CHECK(mostRuns(homes, homesSharing(homes, common), {}, least) == 1);
+        CHECK(maxRuns(homes, homesSharing(homes, common), {}, least) == 1);
     }
     int least = 1;
-    CHECK(mostRuns(homes, homes, {}, least) == 1);
+    CHECK(maxRuns(homes, homes, {}, least) == 1);
     // With the same list the first home decides, and one of the two always wins.
     CHECK(least == 1);
 }
@@ -168,7 +168,7 @@
 {
     // As before; and in between an agent restarts with empty memory, or an entry is stopped after its last grant and
     // wakes when the other has long been served.
-    auto homes = homesUnder(agentNames(12));
+    auto homes = homesFor(agentNames(12));
     for (std::size_t common = 1; common <= 3; ++common) {
         auto others = homesSharing(homes, common);
         std::set<BackendServerId> agents(homes.begin(), homes.end());
@@ -176,10 +176,10 @@
         int least = 0;
         for (std::size_t before = 0; before < 10; ++before) {
             CAPTURE(common, before);
-            CHECK(mostRuns(homes, others, { { before, {} } }, least) <= 1);
+            CHECK(maxRuns(homes, others, { { before, {} } }, least) <= 1);
             for (auto& agent : agents) {
-                CHECK(mostRuns(homes, others, { { before, agent } }, least) <= 1);
-                CHECK(mostRuns(homes, others, { { before, agent }, { before + 1, {} } }, least) <= 1);
+                CHECK(maxRuns(homes, others, { { before, agent } }, least) <= 1);
+                CHECK(maxRuns(homes, others, { { before, agent }, { before + 1, {} } }, least) <= 1);
             }
         }
     }
@@ -189,36 +189,36 @@
 {
     // Documents the limit of the promise: all three homes of a key replaced between the lists of two entries, and no
     // agent that knows both lists. See docs/design/request-policy.md.
-    auto homes = homesUnder(agentNames(12));
+    auto homes = homesFor(agentNames(12));
     int least = 1;
-    CHECK(mostRuns(homes, homesSharing(homes, 0), {}, least) == 2);
+    CHECK(maxRuns(homes, homesSharing(homes, 0), {}, least) == 2);
 }
 
 TEST_CASE("ClaimProtocol: an entry that wakes with an old list is refused by agents that know a newer one")
 {
     // An entry is stopped for an hour. All homes of its keys have moved; the old ones are still up.
-    auto desk = oldDesk();
-    desk.onList(ListRevision(7), start);
-    CHECK(desk.onClaim(claimOf(1, 6), start + seconds(5)).answer == ClaimAnswer::Granted);
+    auto table = establishedTable();
+    table.onListRevision(ListRevision(7), start);
+    CHECK(table.onClaim(claimOf(1, 6), start + seconds(5)).answer == ClaimAnswer::Granted);
     auto other = claimOf(2, 6);
     other.key.key = RequestKey("another");
-    auto reply = desk.onClaim(other, start + seconds(6));
+    auto reply = table.onClaim(other, start + seconds(6));
     CHECK(reply.answer == ClaimAnswer::StaleList);
     CHECK(reply.revision == ListRevision(7));
     other.revision = ListRevision(9);
-    CHECK(desk.onClaim(other, start + seconds(6)).answer == ClaimAnswer::Granted);
+    CHECK(table.onClaim(other, start + seconds(6)).answer == ClaimAnswer::Granted);
     other.key.key = RequestKey("third");
     other.revision = ListRevision(7);
-    CHECK(desk.onClaim(other, start + seconds(12)).answer == ClaimAnswer::StaleList);
+    CHECK(table.onClaim(other, start + seconds(12)).answer == ClaimAnswer::StaleList);
 }
 
 TEST_CASE("ClaimDesk: an entry that sleeps longer than homes remember does not run the key when it wakes")
 {
     // An entry is stopped between its last grant and the run. Ten minutes later the homes have forgotten the claim, and
     // the owner's resend runs through another entry at another agent. Then the first entry wakes and sends its run.
-    auto runner = oldDesk();
-    auto witness = oldDesk();
-    auto otherRunner = oldDesk();
+    auto runner = establishedTable();
+    auto witness = establishedTable();
+    auto otherRunner = establishedTable();
     auto first = claimOf(1);
     runner.onClaim(first, start);
     witness.onClaim(first, start);
@@ -233,18 +233,18 @@
 TEST_CASE("ClaimDesk: copies of an old claim and its run do nothing at the agent's next incarnation")
 {
     // The agent ran the permit and restarted. Copies of both messages leave a buffer long after.
-    auto restarted = oldDesk(2);
+    auto restarted = establishedTable(2);
     CHECK(restarted.onClaim(claimOf(1), start).answer == ClaimAnswer::Granted);
     CHECK(restarted.onRun(key, claimOf(1).claim, Incarnation(1), start) == RunAnswer::NotClaimed);
 }
 
 TEST_CASE("ClaimProtocol: a home that can't be reached means refusal, never not-run, and frees the others")
 {
-    auto homes = homesUnder(agentNames(12));
+    auto homes = homesFor(agentNames(12));
     ClaimProtocol protocol(claimOf(1), homes);
     CHECK(protocol.start()[0].to == homes[0]);
-    auto desk = oldDesk();
-    protocol.onReply(homes[0], desk.onClaim(protocol.request(), start));
+    auto table = establishedTable();
+    protocol.onReply(homes[0], table.onClaim(protocol.request(), start));
     CHECK(protocol.onUnreachable(homes[2]).empty());
     auto effects = protocol.onUnreachable(homes[1]);
     REQUIRE(effects.size() == 3);
@@ -252,8 +252,8 @@
     CHECK(effects[1].kind == ClaimEffectKind::SendRelease);
     CHECK(effects[2].refusal == ClaimRefusal::HomeUnreachable);
     CHECK(effects[2].verdict == Verdict::MayHaveRun);
-    desk.onRelease(key, protocol.request().claim);
-    CHECK(desk.size() == 0);
+    table.onRelease(key, protocol.request().claim);
+    CHECK(table.size() == 0);
     CHECK(protocol.isDone());
     ClaimProtocol homeless(claimOf(1), {});
     CHECK(homeless.start()[0].refusal == ClaimRefusal::NoHomes);
@@ -261,51 +261,51 @@
 
 TEST_CASE("ClaimProtocol: a resend attaches to the run it finds, and claims are kept when the runner goes silent")
 {
-    auto homes = homesUnder(agentNames(12));
-    std::map<BackendServerId, ClaimDesk> desks;
+    auto homes = homesFor(agentNames(12));
+    std::map<BackendServerId, ClaimTable> tables;
     for (auto& home : homes)
-        desks.emplace(home, oldDesk(desks.size() + 1));
+        tables.emplace(home, establishedTable(tables.size() + 1));
     ClaimProtocol first(claimOf(1), homes);
     auto effects = first.start();
     while (effects[0].kind == ClaimEffectKind::SendClaim) {
         auto from = effects[0].to;
-        auto reply = desks.at(from).onClaim(first.request(), start);
+        auto reply = tables.at(from).onClaim(first.request(), start);
         effects = first.onReply(from, reply);
         CHECK(first.onReply(from, reply).empty());
     }
     REQUIRE(effects[0].kind == ClaimEffectKind::SendRun);
-    CHECK(desks.at(homes[0]).onRun(key, first.request().claim, effects[0].incarnation, start) == RunAnswer::Run);
+    CHECK(tables.at(homes[0]).onRun(key, first.request().claim, effects[0].incarnation, start) == RunAnswer::Run);
     auto lost = first.onUnreachable(homes[0]);
     REQUIRE(lost.size() == 1);
     CHECK(lost[0].verdict == Verdict::MayHaveRun);
 
     ClaimProtocol second(claimOf(2), homes);
     second.start();
-    auto found = second.onReply(homes[0], desks.at(homes[0]).onClaim(second.request(), start + seconds(1)));
+    auto found = second.onReply(homes[0], tables.at(homes[0]).onClaim(second.request(), start + seconds(1)));
     CHECK(found.back().kind == ClaimEffectKind::Attach);
     CHECK(found.back().to == homes[0]);
-    CHECK(desks.at(homes[0]).outcomeOf(key) == Verdict::MayHaveRun);
-    desks.at(homes[0]).onFinish(key, Verdict::Ran, start + seconds(2));
-    CHECK(desks.at(homes[0]).outcomeOf(key) == Verdict::Ran);
+    CHECK(tables.at(homes[0]).outcomeOf(key) == Verdict::MayHaveRun);
+    tables.at(homes[0]).onFinish(key, Verdict::Ran, start + seconds(2));
+    CHECK(tables.at(homes[0]).outcomeOf(key) == Verdict::Ran);
 }
 
 TEST_CASE("ClaimDesk: keys are kept for the promised time and never dropped for lack of room")
 {
-    auto desk = oldDesk();
-    desk.onClaim(claimOf(1), start);
-    desk.onRun(key, claimOf(1).claim, Incarnation(1), start);
-    desk.tick(start + seconds(5000));
-    CHECK(desk.onClaim(claimOf(2), start + seconds(5000)).answer == ClaimAnswer::Held);
-    desk.onFinish(key, Verdict::Ran, start + seconds(5000));
-    CHECK(desk.onClaim(claimOf(2), start + seconds(5609)).answer == ClaimAnswer::Held);
-    CHECK(desk.onClaim(claimOf(2), start + seconds(5611)).answer == ClaimAnswer::Granted);
+    auto table = establishedTable();
+    table.onClaim(claimOf(1), start);
+    table.onRun(key, claimOf(1).claim, Incarnation(1), start);
+    table.tick(start + seconds(5000));
+    CHECK(table.onClaim(claimOf(2), start + seconds(5000)).answer == ClaimAnswer::Held);
+    table.onFinish(key, Verdict::Ran, start + seconds(5000));
+    CHECK(table.onClaim(claimOf(2), start + seconds(5609)).answer == ClaimAnswer::Held);
+    CHECK(table.onClaim(claimOf(2), start + seconds(5611)).answer == ClaimAnswer::Granted);
     for (int i = 0; i < 200; ++i) {
         auto claim = claimOf(3);
         claim.key.key = RequestKey(std::to_string(i));
-        desk.onClaim(claim, start + seconds(5611));
+        table.onClaim(claim, start + seconds(5611));
     }
-    CHECK(desk.size() == 100);
-    CHECK(desk.onClaim(claimOf(4), start + seconds(5612)).answer == ClaimAnswer::Held);
+    CHECK(table.size() == 100);
+    CHECK(table.onClaim(claimOf(4), start + seconds(5612)).answer == ClaimAnswer::Held);
 }
 
 TEST_CASE("RequestHome: all entries agree on the homes, and a change of the list moves few keys")
@@ -316,8 +316,8 @@
     auto fewer = agents;
     fewer.erase(fewer.begin() + 30);
     auto homesOf = [](const std::vector<BackendServerId>& list, int i) {
-        auto home = RequestHome::create({}).value();
-        home.onList(ListRevision(1), list, start);
+        auto home = HomeSelector::create({}).value();
+        home.onAgentList(ListRevision(1), list, start);
         return home.homesOf({ OrganisationName("a"), RequestKey(std::to_string(i)) }, start);
     };
     int moved = 0;
@@ -331,14 +331,14 @@
 
 TEST_CASE("RequestHome: homes under lists of the window count too, the current ones first")
 {
-    auto home = RequestHome::create({ .homes = 3, .window = seconds(30) }).value();
+    auto home = HomeSelector::create({ .homesPerKey = 3, .window = seconds(30) }).value();
     CHECK(home.homesOf(key, start).empty());
     auto agents = agentNames(12);
-    home.onList(ListRevision(1), agents, start);
+    home.onAgentList(ListRevision(1), agents, start);
     auto before = home.homesOf(key, start);
     std::erase(agents, before[0]);
-    home.onList(ListRevision(2), agents, start + seconds(1));
-    home.onList(ListRevision(1), {}, start + seconds(1));
+    home.onAgentList(ListRevision(2), agents, start + seconds(1));
+    home.onAgentList(ListRevision(1), {}, start + seconds(1));
     auto during = home.homesOf(key, start + seconds(31));
     REQUIRE(during.size() == 4);
     CHECK(during[0] == before[1]);
--- a/test/crash-quarantine_test.cc
+++ b/test/crash-quarantine_test.cc
@@ -20,15 +20,15 @@
 
 CrashQuarantine makeQuarantine(std::size_t capacity = 100)
 {
-    return CrashQuarantine::create({ .suspicion = seconds(600), .conviction = seconds(3600), .capacity = capacity }).value();
+    return CrashQuarantine::create({ .suspicionPeriod = seconds(600), .quarantinePeriod = seconds(3600), .capacity = capacity }).value();
 }
 
-/// A fleet of entries and servers in which one body crashes whatever runs it. Each entry hears of a crash `newsDelay`
+/// A fleet of entries and servers in which one body crashes whatever runs it. Each entry hears of a crash `propagationDelay`
 /// after it; agents hear only of their own. Clients send copies at given times through given entries.
 class PoisonedFleet {
 public:
-    PoisonedFleet(std::size_t entries, milliseconds newsDelay)
-        : m_newsDelay(newsDelay)
+    PoisonedFleet(std::size_t entries, milliseconds propagationDelay)
+        : m_propagationDelay(propagationDelay)
     {
         for (std::size_t i = 0; i < entries; ++i)
             m_entries.push_back({ makeQuarantine(), {} });
@@ -48,14 +48,14 @@
         auto server = action == QuarantineAction::RunAlone ? serverForSuspect() : m_next++ % m_servers.size();
         if (m_agents[server].check(poison, now).action == QuarantineAction::Refuse)
             return;
-        m_unsuspected += action == QuarantineAction::Admit ? 1 : 0;
+        m_unawareRuns += action == QuarantineAction::Admit ? 1 : 0;
         m_crashed.insert(server);
         CrashReport report { crashIdOf(m_servers[server], Incarnation(1), ++m_crashes), { poison, neighbour } };
         m_agents[server].onCrash(report, now);
         m_entries[entry].quarantine.onCrash(report, now);
         for (std::size_t i = 0; i < m_entries.size(); ++i) {
             if (i != entry)
-                m_entries[i].inbox.push_back({ now + m_newsDelay, report });
+                m_entries[i].inbox.push_back({ now + m_propagationDelay, report });
         }
     }
 
@@ -63,41 +63,41 @@
     std::size_t crashed() const { return m_crashed.size(); }
     std::uint64_t crashes() const { return m_crashes; }
     /// Copies that were run by an entry which had not heard of any crash.
-    std::size_t unsuspected() const { return m_unsuspected; }
+    std::size_t unawareRuns() const { return m_unawareRuns; }
 
 private:
-    struct News {
+    struct CrashNotice {
         TimePoint at;
         CrashReport report;
     };
     struct Entry {
         CrashQuarantine quarantine;
-        std::vector<News> inbox;
+        std::vector<CrashNotice> inbox;
     };
 
     std::size_t serverForSuspect() const
     {
-        auto chosen = suspectServer(poison, m_servers);
+        auto chosen = isolationServer(poison, m_servers);
         return static_cast<std::size_t>(std::find(m_servers.begin(), m_servers.end(), *chosen) - m_servers.begin());
     }
 
     void deliver(TimePoint now)
     {
         for (auto& entry : m_entries) {
-            for (auto& news : entry.inbox) {
-                if (news.at <= now)
-                    entry.quarantine.onCrash(news.report, now);
+            for (auto& notice : entry.inbox) {
+                if (notice.at <= now)
+                    entry.quarantine.onCrash(notice.report, now);
             }
-            std::erase_if(entry.inbox, [&](auto& news) { return news.at <= now; });
+            std::erase_if(entry.inbox, [&](auto& notice) { return notice.at <= now; });
         }
     }
 
-    milliseconds m_newsDelay;
+    milliseconds m_propagationDelay;
     std::vector<Entry> m_entries;
     std::vector<BackendServerId> m_servers;
     std::vector<CrashQuarantine> m_agents;
     std::size_t m_next { 0 };
-    std::size_t m_unsuspected { 0 };
+    std::size_t m_unawareRuns { 0 };
     std::set<std::size_t> m_crashed;
     std::uint64_t m_crashes { 0 };
 };
@@ -130,8 +130,8 @@
             fleet.send(entry(generator), now);
         }
         CAPTURE(seed);
-        CHECK(fleet.unsuspected() <= 6);
-        CHECK(fleet.crashed() <= fleet.unsuspected() + 1);
+        CHECK(fleet.unawareRuns() <= 6);
+        CHECK(fleet.crashed() <= fleet.unawareRuns() + 1);
     }
 }
 
@@ -176,7 +176,7 @@
 TEST_CASE("CrashQuarantine: doubled, late and reordered news leads every node to the same decision")
 {
     // The clearing of a neighbour reaches one entry before the suspicion does, and everything comes twice.
-    std::vector<SuspicionMessage> news {
+    std::vector<SuspicionMessage> messages {
         { neighbour, CrashId(1), false, seconds(600) },
         { neighbour, CrashId(1), true, seconds(600) },
         { poison, CrashId(1), false, seconds(600) },
@@ -187,8 +187,8 @@
     do {
         auto quarantine = makeQuarantine();
         for (auto i : order) {
-            quarantine.onMessage(news[i], start);
-            quarantine.onMessage(news[i], start);
+            quarantine.onMessage(messages[i], start);
+            quarantine.onMessage(messages[i], start);
         }
         CHECK(quarantine.check(neighbour, start).action == QuarantineAction::Admit);
         CHECK(quarantine.check(poison, start).action == QuarantineAction::Refuse);
@@ -257,12 +257,12 @@
     fewer.pop_back();
     int moved = 0;
     for (std::uint64_t i = 0; i < 1000; ++i) {
-        auto chosen = suspectServer(Fingerprint(i), servers);
-        CHECK(chosen == suspectServer(Fingerprint(i), reversed));
-        moved += chosen != suspectServer(Fingerprint(i), fewer) ? 1 : 0;
+        auto chosen = isolationServer(Fingerprint(i), servers);
+        CHECK(chosen == isolationServer(Fingerprint(i), reversed));
+        moved += chosen != isolationServer(Fingerprint(i), fewer) ? 1 : 0;
     }
     CHECK(moved < 100);
-    CHECK_FALSE(suspectServer(poison, {}));
+    CHECK_FALSE(isolationServer(poison, {}));
 }
 
 TEST_CASE("fingerprintOf: a resend has the same fingerprint however it is laid out, another request has not")
--- a/test/dedup-table_test.cc
+++ b/test/dedup-table_test.cc
@@ -140,7 +140,7 @@
     auto now = start;
     std::vector<Ticket> minted;
     std::map<std::uint64_t, int> runs;
-    std::map<std::uint64_t, bool> promised;
+    std::map<std::uint64_t, bool> cancelled;
     std::vector<Ticket> running;
     for (int i = 0; i < 50000; ++i) {
         auto dice = percent(generator);
@@ -150,10 +150,10 @@
         auto ticket = minted[recent(generator)];
         if (dice < 60 && table.start(ticket).answer == StartAnswer::Run) {
             ++runs[ticket.serial];
-            CHECK_FALSE(promised[ticket.serial]);
+            CHECK_FALSE(cancelled[ticket.serial]);
             running.push_back(ticket);
         } else if (dice < 75 && table.cancel(ticket) == Verdict::NotRun) {
-            promised[ticket.serial] = true;
+            cancelled[ticket.serial] = true;
             CHECK(runs[ticket.serial] == 0);
         } else if (dice < 95 && !running.empty()) {
             table.finish(running.back(), Verdict::Ran);
--- a/test/fleet-share_test.cc
+++ b/test/fleet-share_test.cc
@@ -16,9 +16,9 @@
 const TimePoint start { seconds(1000) };
 constexpr milliseconds window { 3000 };
 
-FleetShare makeShare(StaleList staleList = StaleList::Hold)
+FleetShare makeShare(StaleListPolicy staleListPolicy = StaleListPolicy::KeepShare)
 {
-    return FleetShare::create({ .window = window, .staleList = staleList, .staleAfter = milliseconds(1500) }, start).value();
+    return FleetShare::create({ .window = window, .staleListPolicy = staleListPolicy, .staleAfter = milliseconds(1500) }, start).value();
 }
 
 /// A published list that changes, and entries that read it late: each read gives any version that stood in the last
@@ -92,7 +92,7 @@
         auto asOf = now - milliseconds(draw(0, 2000));
         auto it = std::find_if(m_versions.rbegin(), m_versions.rend(), [&](auto& version) { return version.since <= asOf; });
         auto& version = it == m_versions.rend() ? m_versions.front() : *it;
-        entry.share.onList(version.names.size(), version.names.count(entry.name) > 0, now);
+        entry.share.onInstanceList(version.names.size(), version.names.count(entry.name) > 0, now);
         entry.nextRead = now + milliseconds(draw(1, 1000));
     }
 
@@ -123,16 +123,16 @@
 TEST_CASE("FleetShare: shrinks at once, grows after the window, and starts with nothing")
 {
     auto share = makeShare();
-    share.onList(6, true, start);
+    share.onInstanceList(6, true, start);
     CHECK(share.at(start + window) == 0);
     CHECK(share.at(start + window + milliseconds(1)) == Approx(1.0 / 6));
     auto now = start + seconds(10);
-    share.onList(7, true, now);
+    share.onInstanceList(7, true, now);
     CHECK(share.at(now) == Approx(1.0 / 7));
-    share.onList(5, true, now + seconds(1));
+    share.onInstanceList(5, true, now + seconds(1));
     CHECK(share.at(now + seconds(4)) == Approx(1.0 / 7));
     CHECK(share.at(now + milliseconds(4001)) == Approx(1.0 / 5));
-    share.onList(5, false, now + seconds(6));
+    share.onInstanceList(5, false, now + seconds(6));
     CHECK(share.at(now + seconds(6)) == 0);
 }
 
@@ -141,31 +141,31 @@
     auto watched = makeShare();
     auto unwatched = makeShare();
     for (auto* share : { &watched, &unwatched })
-        share->onList(4, true, start);
-    watched.onList(2, true, start + seconds(10));
-    unwatched.onList(2, true, start + seconds(10));
+        share->onInstanceList(4, true, start);
+    watched.onInstanceList(2, true, start + seconds(10));
+    unwatched.onInstanceList(2, true, start + seconds(10));
     for (int i = 0; i < 20; ++i)
         watched.at(start + seconds(i));
-    CHECK(watched.yieldUntil(start + seconds(20)) == Approx(10.0 / 4 + 7.0 / 2));
-    CHECK(unwatched.yieldUntil(start + seconds(20)) == Approx(10.0 / 4 + 7.0 / 2));
+    CHECK(watched.integralUntil(start + seconds(20)) == Approx(10.0 / 4 + 7.0 / 2));
+    CHECK(unwatched.integralUntil(start + seconds(20)) == Approx(10.0 / 4 + 7.0 / 2));
 }
 
 TEST_CASE("FleetShare: an entry cut off from the list holds its share or gives it up, as it was told")
 {
     // An entry can serve clients but not read the list, which has dropped it. The others grow a window later. Which of
     // the two promises then bends is the operator's choice: the sum of the limit, or service while the list is down.
-    auto holds = makeShare(StaleList::Hold);
-    auto surrenders = makeShare(StaleList::Surrender);
+    auto keeping = makeShare(StaleListPolicy::KeepShare);
+    auto releasing = makeShare(StaleListPolicy::ReleaseShare);
     auto other = makeShare();
     for (int i = 0; i < 10; ++i) {
-        for (auto* share : { &holds, &surrenders, &other })
-            share->onList(2, true, start + seconds(i));
+        for (auto* share : { &keeping, &releasing, &other })
+            share->onInstanceList(2, true, start + seconds(i));
     }
     auto last = start + seconds(9);
-    other.onList(1, true, last + milliseconds(1));
+    other.onInstanceList(1, true, last + milliseconds(1));
     for (auto now = last; now < last + seconds(10); now += milliseconds(100))
-        CHECK(surrenders.at(now) + other.at(now) <= 1);
-    CHECK(holds.at(last + seconds(10)) == 0.5);
+        CHECK(releasing.at(now) + other.at(now) <= 1);
+    CHECK(keeping.at(last + seconds(10)) == 0.5);
     CHECK(other.at(last + seconds(10)) == 1);
-    CHECK_FALSE(FleetShare::create({ .window = window, .staleList = StaleList::Surrender, .staleAfter = window }, start).has_value());
+    CHECK_FALSE(FleetShare::create({ .window = window, .staleListPolicy = StaleListPolicy::ReleaseShare, .staleAfter = window }, start).has_value());
 }
--- a/test/organisation-limits_test.cc
+++ b/test/organisation-limits_test.cc
@@ -51,13 +51,13 @@
     void readList(TimePoint now)
     {
         for (auto& entry : m_entries)
-            entry->onList(m_names, now);
+            entry->onInstanceList(m_names, now);
     }
 
     void restart(std::size_t i, TimePoint now)
     {
         *m_entries[i] = makeLimits(i, now, ++m_incarnation);
-        m_entries[i]->onList(m_names, now);
+        m_entries[i]->onInstanceList(m_names, now);
     }
 
     bool admit(std::size_t i, std::int64_t tokens, TimePoint now)
@@ -67,7 +67,7 @@
         send(i, effects, now);
         m_isBorrowing = decision.isBorrowing;
         if (decision.outcome == LimitOutcome::Admitted)
-            count(tokens, now);
+            recordAdmitted(tokens, now);
         return decision.outcome == LimitOutcome::Admitted;
     }
 
@@ -89,7 +89,7 @@
 
     bool isFaulty { false };
     /// Entries below this index cannot reach those from it on.
-    std::size_t cut { 0 };
+    std::size_t partitionIndex { 0 };
 
     int accepted() const { return m_accepted; }
     bool isBorrowing() const { return m_isBorrowing; }
@@ -108,7 +108,7 @@
     {
         for (auto& effect : effects) {
             auto to = static_cast<std::size_t>(std::find(m_names.begin(), m_names.end(), effect.to) - m_names.begin());
-            if ((from < cut) != (to < cut))
+            if ((from < partitionIndex) != (to < partitionIndex))
                 continue;
             int copies = isFaulty ? draw(0, 3) : 1;
             for (int i = 0; i < copies; ++i) {
@@ -119,7 +119,7 @@
         }
     }
 
-    void count(std::int64_t tokens, TimePoint now)
+    void recordAdmitted(std::int64_t tokens, TimePoint now)
     {
         auto level = m_admitted - rate * std::chrono::duration<double>(now - start).count();
         m_lowest = std::min(m_lowest, level);
@@ -167,18 +167,18 @@
     for (unsigned seed = 1; seed <= 200; ++seed) {
         LendingFleet fleet(6, seed);
         fleet.isFaulty = true;
-        std::vector<TimePoint> awakeFrom(6, start);
+        std::vector<TimePoint> pausedUntil(6, start);
         for (auto now = start; now < start + seconds(60); now += milliseconds(10)) {
             if (fleet.draw(0, 600) == 0)
-                fleet.cut = fleet.draw(0, 2) ? 0 : static_cast<std::size_t>(fleet.draw(1, 5));
+                fleet.partitionIndex = fleet.draw(0, 2) ? 0 : static_cast<std::size_t>(fleet.draw(1, 5));
             if (fleet.draw(0, 4000) == 0)
                 fleet.restart(static_cast<std::size_t>(fleet.draw(0, 5)), now);
             if (fleet.draw(0, 600) == 0)
-                awakeFrom[static_cast<std::size_t>(fleet.draw(0, 5))] = now + milliseconds(fleet.draw(0, 8000));
+                pausedUntil[static_cast<std::size_t>(fleet.draw(0, 5))] = now + milliseconds(fleet.draw(0, 8000));
             fleet.deliver(now);
             bool isRush = fleet.draw(0, 1000) == 0;
             for (std::size_t i = 0; i < 6; ++i) {
-                if (now < awakeFrom[i])
+                if (now < pausedUntil[i])
                     continue;
                 if (fleet.draw(0, 60) == 0)
                     fleet.admit(i, fleet.draw(700, 4000), now);
@@ -199,7 +199,7 @@
     // A morning rush: two hundred organisations at their limits, each refused a hundred times a second. If each asked
     // peers on its own, lending would take many times what an entry may spend on control traffic.
     auto limits = makeLimits(0);
-    limits.onList({ nameOf(0), nameOf(1), nameOf(2) }, start);
+    limits.onInstanceList({ nameOf(0), nameOf(1), nameOf(2) }, start);
     std::vector<OrganisationName> names;
     for (int i = 0; i < 200; ++i) {
         names.emplace_back(std::to_string(i));
@@ -219,8 +219,8 @@
     auto lender = makeLimits(0);
     auto borrower = makeLimits(1);
     std::vector<InstanceId> names { nameOf(0), nameOf(1) };
-    lender.onList(names, start);
-    borrower.onList(names, start);
+    lender.onInstanceList(names, start);
+    borrower.onInstanceList(names, start);
     auto now = start + seconds(20);
     LimitEffects effects;
     // Half of 4,000 is the borrower's own; it needs the lender's for this.
@@ -272,7 +272,7 @@
     SECTION("a restarted borrower refuses grants to its predecessor")
     {
         auto restarted = makeLimits(1, now, 2);
-        restarted.onList(names, now);
+        restarted.onInstanceList(names, now);
         LimitEffects again;
         restarted.admit(cafe, Tokens(2500), now, again);
         REQUIRE(again[0].request.serial == grant.serial);
@@ -301,7 +301,7 @@
 TEST_CASE("OrganisationLimits: an answer longer than estimated is paid for by what follows")
 {
     auto limits = makeLimits(0);
-    limits.onList({ nameOf(0) }, start);
+    limits.onInstanceList({ nameOf(0) }, start);
     auto now = start + seconds(20);
     LimitEffects effects;
     CHECK(limits.admit(cafe, Tokens(1000), now, effects).outcome == LimitOutcome::Admitted);
@@ -322,7 +322,7 @@
 {
     auto limits = makeLimits(0);
     OrganisationName counted("counted");
-    limits.onList({ nameOf(0) }, start);
+    limits.onInstanceList({ nameOf(0) }, start);
     limits.setLimit(counted, { .requestsPerSecond = 2, .burstSeconds = 1 }, start);
     auto now = start + seconds(20);
     LimitEffects effects;
@@ -332,6 +332,6 @@
     CHECK(refused.outcome == LimitOutcome::RequestLimit);
     CHECK(refused.retryAt == now + milliseconds(500));
     CHECK(limits.admit(OrganisationName("unknown"), Tokens(1), now, effects).outcome == LimitOutcome::Admitted);
-    limits.forget(counted);
+    limits.removeOrganisation(counted);
     CHECK(limits.admit(counted, Tokens(1), now, effects).outcome == LimitOutcome::Admitted);
 }
--- a/test/retry-policy_test.cc
+++ b/test/retry-policy_test.cc
@@ -127,7 +127,7 @@
     CHECK_FALSE(budget.tryTake(poor, start));
     CHECK(budget.tryTake(rich, start));
     CHECK_FALSE(budget.tryTake(rich, start));
-    budget.forget(OrganisationName("rich"));
+    budget.removeOrganisation(OrganisationName("rich"));
     CHECK(budget.size() == 0);
 }
 
--- a/test/router_test.cc
+++ b/test/router_test.cc
@@ -159,7 +159,7 @@
     auto bad = add("bad");
     auto good = add("good");
     add("third");
-    router.onFail(attemptAt(bad), FailureKind::Crashed, now);
+    router.onFailure(attemptAt(bad), FailureKind::Crashed, now);
     CHECK(tally(request()).count(bad) == 0);
     now += milliseconds(1001);
     auto fixed = request();
@@ -169,7 +169,7 @@
     CHECK(probe.server == bad);
     CHECK(probe.reason == RouteReason::Probe);
     CHECK(tally(request()).count(bad) == 0);
-    router.onFail(probe, FailureKind::Unreachable, now);
+    router.onFailure(probe, FailureKind::Unreachable, now);
     now += milliseconds(1500);
     CHECK(tally(request()).count(bad) == 0);
     now += milliseconds(501);
@@ -186,9 +186,9 @@
     add("good");
     add("third");
     for (int i = 0; i < 6; ++i) {
-        router.onFail(attemptAt(flaky), FailureKind::TimedOut, now);
+        router.onFailure(attemptAt(flaky), FailureKind::TimedOut, now);
         router.onFinish(attemptAt(flaky), now);
-        router.onFail(attemptAt(flaky), FailureKind::TimedOut, now);
+        router.onFailure(attemptAt(flaky), FailureKind::TimedOut, now);
     }
     CHECK(router.explain(request(), now).back().state == ServerState::Ejected);
 }
@@ -202,7 +202,7 @@
     for (int i = 0; i < 4; ++i)
         servers.push_back(add(fmt::format("e{}", i)));
     for (auto server : servers)
-        router.onFail(attemptAt(server), FailureKind::Crashed, now);
+        router.onFailure(attemptAt(server), FailureKind::Crashed, now);
     CHECK(tally(request()).size() == 2);
 }
 
@@ -210,16 +210,16 @@
 {
     auto a = add("a");
     auto b = add("b");
-    router.leaving(a);
+    router.markLeaving(a);
     router.onReport(a, { now, Tokens(0), 9000 });
-    router.onFail(attemptAt(a), FailureKind::Crashed, now);
+    router.onFailure(attemptAt(a), FailureKind::Crashed, now);
     now += seconds(100);
     router.onFinish(attemptAt(a), now);
     CHECK(tally(request()).count(a) == 0);
     router.remove(b);
     CHECK_FALSE(router.choose(request(), now, generator));
     auto c = add("c");
-    router.onFail(attemptAt(b), FailureKind::Crashed, now);
+    router.onFailure(attemptAt(b), FailureKind::Crashed, now);
     CHECK(choose(request()).server == c);
     CHECK(router.idOf(b) == nullptr);
     CHECK(add("c") == c);
@@ -231,10 +231,10 @@
     auto b = add("b");
     std::vector<ServerHandle> tried { a };
     auto it = request();
-    it.tried = tried;
+    it.triedServers = tried;
     CHECK(tally(it).count(a) == 0);
     tried.push_back(b);
-    it.tried = tried;
+    it.triedServers = tried;
     CHECK_FALSE(router.choose(it, now, generator));
 }
 
@@ -288,29 +288,29 @@
 
 TEST_CASE("PrefixIndex: evicted and aged prefixes are forgotten, also when their slot has a new server")
 {
-    auto index = PrefixIndex::create({ .capacity = 64, .forgetAfter = seconds(300) }).value();
+    auto index = PrefixIndex::create({ .capacity = 64, .expireAfter = seconds(300) }).value();
     auto blocks = prefixBlocks(std::string(3000, 'a') + "tail", 9, {});
     REQUIRE(blocks.size() == 2);
     PrefixIndex::Holders holders;
     ServerHandle server { 3, 1 };
-    index.remember(blocks, server, start);
+    index.insert(blocks, server, start);
     CHECK(index.find(blocks, start, holders) == 1);
     CHECK(holders[0].server == server);
     CHECK(index.find(blocks, start + seconds(301), holders) == 0);
     index.evict(blocks[1], server);
     REQUIRE(index.find(blocks, start, holders) == 1);
     CHECK(holders[0].blocks == 1);
-    index.remember({}, ServerHandle { 3, 2 }, start);
+    index.insert({}, ServerHandle { 3, 2 }, start);
     CHECK(index.find(blocks, start, holders) == 0);
 }
 
 TEST_CASE("PrefixIndex: memory stays fixed and the newest prefixes are kept")
 {
-    auto index = PrefixIndex::create({ .capacity = 1024, .forgetAfter = seconds(300) }).value();
+    auto index = PrefixIndex::create({ .capacity = 1024, .expireAfter = seconds(300) }).value();
     PrefixIndex::Holders holders;
     auto blocksOf = [](int n) { return prefixBlocks(fmt::format("{:01024}", n), 0, {}); };
     for (int i = 0; i < 10000; ++i)
-        index.remember(blocksOf(i), { 0, 1 }, start + seconds(i / 100));
+        index.insert(blocksOf(i), { 0, 1 }, start + seconds(i / 100));
     int kept = 0;
     for (int i = 9800; i < 10000; ++i)
         kept += index.find(blocksOf(i), start + seconds(100), holders) ? 1 : 0;
