--- a/bench/entry-decision.cc
+++ b/bench/entry-decision.cc
@@ -59,7 +59,7 @@
         : m_organisations(organisations)
         , m_reducer(Reducer::create(options(m_now)).value())
     {
-        give(SettingsInForce { Revision(1), settings::Tree::parse(settingsFor(organisations)).result().value(), m_now });
+        give(SettingsActivated { Revision(1), settings::Tree::parse(settingsFor(organisations)).result().value(), m_now });
         give(ViewChanged { viewOf(servers), m_now });
         for (std::size_t n = 0; n < servers; ++n)
             report(n);
@@ -120,7 +120,7 @@
         auto order = m_open.front();
         m_open.pop_front();
         give(OutputBegan { order.id, m_now });
-        give(AttemptEnded { order.id, order.attempt, AttemptEnd::Answered, Verdict::Ran, AttemptReason::None, m_now });
+        give(AttemptEnded { order.id, order.attempt, AttemptOutcome::Answered, Verdict::Ran, AttemptReason::None, m_now });
     }
 
     void give(const Event& event)
@@ -129,8 +129,8 @@
         m_reducer.apply(event, m_effects);
         for (auto& effect : m_effects) {
             if (auto start = std::get_if<StartAttempt>(&effect))
-                m_open.push_back(start->order);
-            m_refused += std::holds_alternative<Refuse>(effect);
+                m_open.push_back(start->spec);
+            m_refused += std::holds_alternative<RefuseRequest>(effect);
         }
     }
 
@@ -138,7 +138,7 @@
     TimePoint m_now { seconds(1000) };
     Reducer m_reducer;
     Effects m_effects;
-    std::deque<AttemptOrder> m_open;
+    std::deque<AttemptSpec> m_open;
     std::uint64_t m_lastRequest { 0 };
     std::size_t m_refused { 0 };
 };
--- a/src/entry/admission.cc
+++ b/src/entry/admission-controller.cc
@@ -1,4 +1,4 @@
-#include "src/entry/admission.h"
+#include "src/entry/admission-controller.h"
 
 #include <algorithm>
 
@@ -7,25 +7,25 @@
 namespace {
 
 /// Work that one backend server is kept busy with: enough that its batch never runs dry between two reports.
-constexpr double secondsOfWorkPerServer = 4;
+constexpr double workSecondsPerServer = 4;
 /// Size of a model request assumed to turn the most concurrent requests into tokens.
 constexpr std::int64_t typicalRequestTokens = 512;
 /// Before any server is known nothing can start anyway; the queue wants a capacity above zero.
-constexpr std::int64_t leastCapacity = 1;
+constexpr std::int64_t minCapacity = 1;
 
 Tokens capacityOf(const settings::ServiceSettings& service, const ServiceCapacity& capacity)
 {
     auto requests = static_cast<std::int64_t>(capacity.servers) * service.maxConcurrentPerBackendServer;
     if (service.kind == settings::ServiceKind::Plain)
-        return Tokens(std::max(leastCapacity, requests / static_cast<std::int64_t>(capacity.entries)));
-    auto most = requests * typicalRequestTokens;
-    auto busy = capacity.tokensPerSecond > 0 ? static_cast<std::int64_t>(capacity.tokensPerSecond * secondsOfWorkPerServer) : most;
-    return Tokens(std::max(typicalRequestTokens, std::min(most, busy) / static_cast<std::int64_t>(capacity.entries)));
+        return Tokens(std::max(minCapacity, requests / static_cast<std::int64_t>(capacity.entries)));
+    auto limit = requests * typicalRequestTokens;
+    auto busy = capacity.tokensPerSecond > 0 ? static_cast<std::int64_t>(capacity.tokensPerSecond * workSecondsPerServer) : limit;
+    return Tokens(std::max(typicalRequestTokens, std::min(limit, busy) / static_cast<std::int64_t>(capacity.entries)));
 }
 
-Admission::Decisions toDecisions(const policy::AdmissionEffects& effects)
+AdmissionController::Decisions toDecisions(const policy::AdmissionEffects& effects)
 {
-    Admission::Decisions decisions;
+    AdmissionController::Decisions decisions;
     for (auto& it : effects)
         decisions.push_back({ RequestId(it.id.value()), it.action == policy::AdmissionAction::Start, it.reason, it.retryAfter });
     return decisions;
@@ -51,7 +51,7 @@
     return service.kind == settings::ServiceKind::Plain ? Tokens(1) : info.promptTokens + info.expectedOutput;
 }
 
-policy::AdmissionQueue& Admission::queueOf(const settings::ServiceSettings& service)
+policy::AdmissionQueue& AdmissionController::queueOf(const settings::ServiceSettings& service)
 {
     auto it = m_queues.find(service.name);
     if (it != m_queues.end())
@@ -62,7 +62,7 @@
     return m_queues.emplace(service.name, policy::AdmissionQueue::create(options).value()).first->second;
 }
 
-Admission::Decisions Admission::onArrive(RequestId id, const settings::ServiceSettings& service, const settings::OrganisationSettings& organisation, Tokens cost,
+AdmissionController::Decisions AdmissionController::onArrive(RequestId id, const settings::ServiceSettings& service, const settings::OrganisationSettings& organisation, Tokens cost,
     TimePoint latestStart, TimePoint now, policy::Generator& generator)
 {
     auto& queue = queueOf(service);
@@ -71,30 +71,30 @@
     return toDecisions(queue.onArrive(request, now, generator));
 }
 
-Admission::Decisions Admission::onFinish(const ServiceName& service, Tokens cost, TimePoint now, policy::Generator& generator)
+AdmissionController::Decisions AdmissionController::onFinish(const ServiceName& service, Tokens cost, TimePoint now, policy::Generator& generator)
 {
     auto it = m_queues.find(service);
     return it == m_queues.end() ? Decisions() : toDecisions(it->second.onFinish(cost, now, generator));
 }
 
-void Admission::onAbandon(const ServiceName& service, RequestId id)
+void AdmissionController::onAbandon(const ServiceName& service, RequestId id)
 {
     auto it = m_queues.find(service);
     if (it != m_queues.end())
         it->second.onAbandon(policy::AdmissionId(id.value()));
 }
 
-Admission::Decisions Admission::setCapacity(const settings::ServiceSettings& service, const ServiceCapacity& capacity, TimePoint now, policy::Generator& generator)
+AdmissionController::Decisions AdmissionController::setCapacity(const settings::ServiceSettings& service, const ServiceCapacity& capacity, TimePoint now, policy::Generator& generator)
 {
     auto& queue = queueOf(service);
-    auto mostInFlight = std::max<std::size_t>(1, capacity.servers * static_cast<std::size_t>(service.maxConcurrentPerBackendServer) / capacity.entries);
-    auto decisions = toDecisions(queue.setMaximumInFlight(mostInFlight, now, generator));
+    auto maxInFlight = std::max<std::size_t>(1, capacity.servers * static_cast<std::size_t>(service.maxConcurrentPerBackendServer) / capacity.entries);
+    auto decisions = toDecisions(queue.setMaximumInFlight(maxInFlight, now, generator));
     auto more = toDecisions(queue.setCapacity(capacityOf(service, capacity), now, generator));
     decisions.insert(decisions.end(), more.begin(), more.end());
     return decisions;
 }
 
-Admission::Decisions Admission::onTimer(TimePoint now, policy::Generator& generator)
+AdmissionController::Decisions AdmissionController::onTimer(TimePoint now, policy::Generator& generator)
 {
     Decisions all;
     for (auto& [service, queue] : m_queues) {
--- a/src/entry/admission.h
+++ b/src/entry/admission-controller.h
@@ -25,7 +25,7 @@
 /// Without it a burst would wait inside the engines, where the first come is served first and one organisation can fill
 /// all batches. So this entry starts only as much as its share of the backend servers keeps busy, and holds the rest here
 /// in fair order.
-class Admission {
+class AdmissionController {
 public:
     struct Decision {
         RequestId id;
--- a/src/entry/agent-link.cc
+++ b/src/entry/agent-link.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t mostBackgroundCalls = 256;
+constexpr std::size_t maxBackgroundCalls = 256;
 
 AgentReport toReport(rpc::schema::Report::Reader from)
 {
@@ -43,7 +43,7 @@
     kj::Promise<void> heartbeat { nullptr };
     kj::Promise<void> disconnect { nullptr };
     /// Calls whose answers nobody waits for.
-    std::vector<kj::Promise<void>> background;
+    std::vector<kj::Promise<void>> backgroundCalls;
 };
 
 struct AgentLink::PendingClaim {
@@ -52,7 +52,7 @@
     OnClaimReply onReply;
     kj::Promise<void> call { nullptr };
 
-    void answer(std::optional<policy::ClaimReply> reply)
+    void complete(std::optional<policy::ClaimReply> reply)
     {
         auto hook = std::move(onReply);
         onReply = nullptr;
@@ -79,26 +79,26 @@
 void AgentLink::stop()
 {
     m_isStopped = true;
-    m_connecting.reset();
+    m_connectingSocket.reset();
     auto attempts = std::move(m_attempts);
     m_attempts.clear();
     for (auto& attempt : attempts)
-        attempt->end(AttemptEnd::Lost, Verdict::MayHaveRun, AttemptReason::Other);
-    endClaims(TimePoint::max());
+        attempt->end(AttemptOutcome::Lost, Verdict::MayHaveRun, AttemptReason::Other);
+    expireClaims(TimePoint::max());
     m_candidate.reset();
     m_current.reset();
 }
 
-void AgentLink::begin(std::shared_ptr<Attempt> attempt)
+void AgentLink::startAttempt(std::shared_ptr<Attempt> attempt)
 {
-    if (!m_current || m_loseAt)
-        return attempt->end(AttemptEnd::Lost, Verdict::NotRun, AttemptReason::Other);
+    if (!m_current || m_reattachDeadline)
+        return attempt->end(AttemptOutcome::Lost, Verdict::NotRun, AttemptReason::Other);
     // The order names the incarnation that was known when it was decided. A newer one must not get it under that name,
     // and the older one may not have it: nothing was sent.
-    if (m_current->incarnation != attempt->order().ticket.agentIncarnation)
-        return attempt->end(AttemptEnd::Refused, Verdict::NotRun, AttemptReason::WrongIncarnation);
-    attempt->issue(m_current->agent, Clock::now());
-    forgetEnded();
+    if (m_current->incarnation != attempt->spec().ticket.agentIncarnation)
+        return attempt->end(AttemptOutcome::Refused, Verdict::NotRun, AttemptReason::WrongIncarnation);
+    attempt->startCall(m_current->agent, Clock::now());
+    removeEndedAttempts();
     m_attempts.push_back(std::move(attempt));
 }
 
@@ -109,100 +109,100 @@
     if (!m_current)
         return;
     auto call = m_current->agent.cancelRequest();
-    rpc::fill(call.initTicket(), attempt->order().ticket);
-    m_current->background.push_back(call.send().ignoreResult().eagerlyEvaluate([](kj::Exception&&) {}));
+    rpc::fill(call.initTicket(), attempt->spec().ticket);
+    m_current->backgroundCalls.push_back(call.send().ignoreResult().eagerlyEvaluate([](kj::Exception&&) {}));
 }
 
-void AgentLink::claim(const policy::ClaimRequest& request, TimePoint deadline, OnClaimReply onReply)
+void AgentLink::sendClaim(const policy::ClaimRequest& request, TimePoint deadline, OnClaimReply onReply)
 {
     auto pending = std::make_shared<PendingClaim>();
     pending->request = request;
     pending->deadline = deadline;
     pending->onReply = std::move(onReply);
     m_claims.push_back(pending);
-    if (m_current && !m_loseAt)
-        return issue(pending);
+    if (m_current && !m_reattachDeadline)
+        return callClaim(pending);
     // Most often the agent is well and only its connection has gone: a fresh one is there in a moment.
-    pending->deadline = std::min(deadline, Clock::now() + m_options.freshConnectionLimit);
+    pending->deadline = std::min(deadline, Clock::now() + m_options.reconnectTimeout);
 }
 
-void AgentLink::issue(const std::shared_ptr<PendingClaim>& pending)
+void AgentLink::callClaim(const std::shared_ptr<PendingClaim>& pending)
 {
     auto call = m_current->agent.claimRequest();
     rpc::fill(call.initClaim(), pending->request);
     auto weak = std::weak_ptr(pending);
     pending->call = call.send().then(
-                                   [weak, id = pending->request.claim](auto&& answer) {
+                                   [weak, id = pending->request.claim](auto&& response) {
                                        if (auto pending = weak.lock())
-                                           pending->answer(rpc::toClaimReply(answer.getReply(), id));
+                                           pending->complete(rpc::toClaimReply(response.getReply(), id));
                                    },
                                    [weak](kj::Exception&&) {
                                        if (auto pending = weak.lock())
-                                           pending->answer(std::nullopt);
+                                           pending->complete(std::nullopt);
                                    })
                         .eagerlyEvaluate(nullptr);
 }
 
-void AgentLink::endClaims(TimePoint passed)
+void AgentLink::expireClaims(TimePoint upTo)
 {
     for (auto& pending : std::vector(m_claims)) {
-        if (pending->deadline <= passed)
-            pending->answer(std::nullopt);
+        if (pending->deadline <= upTo)
+            pending->complete(std::nullopt);
     }
     std::erase_if(m_claims, [](auto& pending) { return !pending->onReply; });
 }
 
-void AgentLink::release(const policy::ClaimRequest& request)
+void AgentLink::sendRelease(const policy::ClaimRequest& request)
 {
     if (!m_current)
         return;
     auto call = m_current->agent.releaseRequest();
     rpc::fill(call.initClaim(), request);
-    m_current->background.push_back(call.send().ignoreResult().eagerlyEvaluate([](kj::Exception&&) {}));
+    m_current->backgroundCalls.push_back(call.send().ignoreResult().eagerlyEvaluate([](kj::Exception&&) {}));
 }
 
 void AgentLink::setSuspicions(std::vector<policy::SuspicionMessage> suspicions, bool isUrgent)
 {
     m_suspicions = std::move(suspicions);
-    if (!isUrgent || !m_current || m_loseAt || m_current->heartbeatDeadline)
+    if (!isUrgent || !m_current || m_reattachDeadline || m_current->heartbeatDeadline)
         return;
     sendHeartbeat(*m_current, Clock::now());
 }
 
 void AgentLink::tick(TimePoint now)
 {
-    checkHeartbeat(now);
-    loseExpired(now);
-    endClaims(now);
+    checkConnections(now);
+    failExpiredAttempts(now);
+    expireClaims(now);
 }
 
-void AgentLink::checkHeartbeat(TimePoint now)
+void AgentLink::checkConnections(TimePoint now)
 {
     if (m_candidate && (m_candidate->isBroken || (m_candidate->heartbeatDeadline && *m_candidate->heartbeatDeadline <= now)))
         m_candidate.reset();
-    if (m_connecting && m_connectDeadline <= now)
-        m_connecting.reset();
+    if (m_connectingSocket && m_connectDeadline <= now)
+        m_connectingSocket.reset();
     if (m_current && (m_current->isBroken || (m_current->heartbeatDeadline && *m_current->heartbeatDeadline <= now)))
-        goDown(now);
-    if (m_loseAt || !m_current) {
-        if (!m_candidate && !m_connecting)
+        markDown(now);
+    if (m_reattachDeadline || !m_current) {
+        if (!m_candidate && !m_connectingSocket)
             connect();
         return;
     }
-    if (m_current->background.size() > mostBackgroundCalls)
-        m_current->background.clear();
+    if (m_current->backgroundCalls.size() > maxBackgroundCalls)
+        m_current->backgroundCalls.clear();
     if (!m_current->heartbeatDeadline && m_current->nextHeartbeat <= now)
         sendHeartbeat(*m_current, now);
 }
 
 void AgentLink::sendHeartbeat(Connection& connection, TimePoint now)
 {
-    connection.heartbeatDeadline = now + m_options.heartbeatLimit;
+    connection.heartbeatDeadline = now + m_options.heartbeatTimeout;
     connection.nextHeartbeat = now + m_options.heartbeatInterval;
     auto call = connection.agent.reportRequest();
     rpc::schema::Agent::ReportParams::Builder params = call;
     rpc::fillSuspicions(params, m_suspicions);
-    connection.heartbeat = call.send().then([this, &connection](auto&& answer) { onHeartbeat(connection, answer.getReport()); }, [&connection](kj::Exception&&) { connection.isBroken = true; }).eagerlyEvaluate(nullptr);
+    connection.heartbeat = call.send().then([this, &connection](auto&& response) { onHeartbeat(connection, response.getReport()); }, [&connection](kj::Exception&&) { connection.isBroken = true; }).eagerlyEvaluate(nullptr);
 }
 
 void AgentLink::onHeartbeat(Connection& connection, rpc::schema::Report::Reader from)
@@ -212,7 +212,7 @@
     connection.incarnation = report.incarnation;
     if (&connection == m_candidate.get()) {
         // The promise that is running now belongs to the candidate, which lives on; the old connection may go.
-        adopt();
+        promoteCandidate();
     }
     m_hooks.onReport(report);
 }
@@ -220,17 +220,17 @@
 void AgentLink::connect()
 {
     auto socket = std::make_shared<boost::asio::ip::tcp::socket>(m_ioContext);
-    m_connecting = socket;
-    m_connectDeadline = Clock::now() + m_options.heartbeatLimit;
+    m_connectingSocket = socket;
+    m_connectDeadline = Clock::now() + m_options.heartbeatTimeout;
     socket->async_connect(m_endpoint, [self = shared_from_this(), socket](boost::system::error_code ec) {
-        if (self->m_connecting != socket || self->m_isStopped)
+        if (self->m_connectingSocket != socket || self->m_isStopped)
             return;
         // An agent that is gone refuses at once: a pause keeps the link from calling it in a loop.
         if (ec) {
             self->m_connectDeadline = Clock::now() + self->m_options.heartbeatInterval;
             return;
         }
-        self->m_connecting.reset();
+        self->m_connectingSocket.reset();
         self->onConnected(std::move(*socket));
     });
 }
@@ -243,58 +243,58 @@
     sendHeartbeat(connection, Clock::now());
 }
 
-void AgentLink::adopt()
+void AgentLink::promoteCandidate()
 {
     m_current = std::move(m_candidate);
-    m_loseAt.reset();
-    forgetEnded();
+    m_reattachDeadline.reset();
+    removeEndedAttempts();
     auto now = Clock::now();
     for (auto& attempt : std::vector(m_attempts)) {
-        if (attempt->order().ticket.agentIncarnation == *m_current->incarnation)
-            attempt->issue(m_current->agent, now);
+        if (attempt->spec().ticket.agentIncarnation == *m_current->incarnation)
+            attempt->startCall(m_current->agent, now);
         else
-            attempt->end(AttemptEnd::Lost, Verdict::MayHaveRun, AttemptReason::WrongIncarnation);
+            attempt->end(AttemptOutcome::Lost, Verdict::MayHaveRun, AttemptReason::WrongIncarnation);
     }
-    forgetEnded();
+    removeEndedAttempts();
     // Claiming again is safe: a home that has granted a claim grants the same one again.
     for (auto& pending : m_claims)
-        issue(pending);
+        callClaim(pending);
 }
 
-void AgentLink::goDown(TimePoint now)
+void AgentLink::markDown(TimePoint now)
 {
-    if (m_loseAt)
+    if (m_reattachDeadline)
         return;
-    m_loseAt = now + m_options.reattachLimit;
-    m_moveAt = now + m_options.freshConnectionLimit;
+    m_reattachDeadline = now + m_options.reattachTimeout;
+    m_reconnectDeadline = now + m_options.reconnectTimeout;
     m_hooks.onDown();
 }
 
 // A request that may run again and has not begun to answer loses little by going elsewhere, but it takes from the retry
 // budget. When many connections go silent together the budget is soon used up and the rest would be refused, although
 // new connections work and the agents go on: so a fresh connection is tried first, which costs no retry.
-void AgentLink::endRepeatable()
+void AgentLink::failRepeatableAttempts()
 {
     for (auto& attempt : std::vector(m_attempts)) {
-        if (attempt->order().isRepeatable && !attempt->hasBegun())
-            attempt->end(AttemptEnd::Lost, Verdict::MayHaveRun, AttemptReason::Other);
+        if (attempt->spec().isRepeatable && !attempt->hasResponseHead())
+            attempt->end(AttemptOutcome::Lost, Verdict::MayHaveRun, AttemptReason::Other);
     }
-    forgetEnded();
+    removeEndedAttempts();
 }
 
-void AgentLink::loseExpired(TimePoint now)
+void AgentLink::failExpiredAttempts(TimePoint now)
 {
-    if (m_loseAt && m_moveAt <= now)
-        endRepeatable();
-    if (!m_loseAt || now < *m_loseAt)
+    if (m_reattachDeadline && m_reconnectDeadline <= now)
+        failRepeatableAttempts();
+    if (!m_reattachDeadline || now < *m_reattachDeadline)
         return;
     auto attempts = std::move(m_attempts);
     m_attempts.clear();
     for (auto& attempt : attempts)
-        attempt->end(AttemptEnd::Lost, Verdict::MayHaveRun, AttemptReason::Other);
+        attempt->end(AttemptOutcome::Lost, Verdict::MayHaveRun, AttemptReason::Other);
 }
 
-void AgentLink::forgetEnded()
+void AgentLink::removeEndedAttempts()
 {
     std::erase_if(m_attempts, [](auto& attempt) { return attempt->hasEnded(); });
 }
--- a/src/entry/agent-link.h
+++ b/src/entry/agent-link.h
@@ -15,11 +15,11 @@
 struct AgentLinkOptions {
     milliseconds heartbeatInterval { 250 };
     /// A heartbeat not answered for so long means that the connection has gone silent.
-    milliseconds heartbeatLimit { 1000 };
+    milliseconds heartbeatTimeout { 1000 };
     /// Repeatable requests wait this long for a fresh connection before they go to another backend server.
-    milliseconds freshConnectionLimit { 300 };
+    milliseconds reconnectTimeout { 300 };
     /// Requests in progress wait this long for a new connection before they count as lost.
-    milliseconds reattachLimit { 2000 };
+    milliseconds reattachTimeout { 2000 };
 };
 
 /// The connection of one traffic thread to one agent: heartbeats, replacement when it breaks or goes silent, and the
@@ -46,12 +46,12 @@
     void stop();
 
     /// Hands a try over. Without a connection it ends at once, as not run.
-    void begin(std::shared_ptr<Attempt> attempt);
+    void startAttempt(std::shared_ptr<Attempt> attempt);
     using OnClaimReply = std::function<void(std::optional<policy::ClaimReply>)>;
     /// Claims a client's key. `onReply` gets nothing when the agent can't be reached or does not answer by `deadline`.
-    void claim(const policy::ClaimRequest& request, TimePoint deadline, OnClaimReply onReply);
+    void sendClaim(const policy::ClaimRequest& request, TimePoint deadline, OnClaimReply onReply);
     /// Best effort: a claim whose release is lost ends by itself.
-    void release(const policy::ClaimRequest& request);
+    void sendRelease(const policy::ClaimRequest& request);
 
     /// What the next heartbeats tell of crashes; when urgent, one goes out at once.
     void setSuspicions(std::vector<policy::SuspicionMessage> suspicions, bool isUrgent);
@@ -63,18 +63,18 @@
     struct Connection;
     struct PendingClaim;
 
-    void checkHeartbeat(TimePoint now);
+    void checkConnections(TimePoint now);
     void sendHeartbeat(Connection& connection, TimePoint now);
     void onHeartbeat(Connection& connection, rpc::schema::Report::Reader report);
     void connect();
     void onConnected(boost::asio::ip::tcp::socket socket);
-    void adopt();
-    void goDown(TimePoint now);
-    void loseExpired(TimePoint now);
-    void endRepeatable();
-    void forgetEnded();
-    void issue(const std::shared_ptr<PendingClaim>& pending);
-    void endClaims(TimePoint passed);
+    void promoteCandidate();
+    void markDown(TimePoint now);
+    void failExpiredAttempts(TimePoint now);
+    void failRepeatableAttempts();
+    void removeEndedAttempts();
+    void callClaim(const std::shared_ptr<PendingClaim>& pending);
+    void expireClaims(TimePoint upTo);
 
     boost::asio::io_context& m_ioContext;
     boost::asio::ip::tcp::endpoint m_endpoint;
@@ -83,12 +83,12 @@
     std::unique_ptr<Connection> m_current;
     /// Connected, but not yet heard: takes over with its first heartbeat.
     std::unique_ptr<Connection> m_candidate;
-    std::shared_ptr<boost::asio::ip::tcp::socket> m_connecting;
+    std::shared_ptr<boost::asio::ip::tcp::socket> m_connectingSocket;
     TimePoint m_connectDeadline;
     /// Set while the link is down: when tries in progress count as lost.
-    std::optional<TimePoint> m_loseAt;
+    std::optional<TimePoint> m_reattachDeadline;
     /// While the link is down: when repeatable tries go elsewhere.
-    TimePoint m_moveAt;
+    TimePoint m_reconnectDeadline;
     std::vector<std::shared_ptr<Attempt>> m_attempts;
     std::vector<std::shared_ptr<PendingClaim>> m_claims;
     std::vector<policy::SuspicionMessage> m_suspicions;
--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -69,28 +69,28 @@
     }
 }
 
-void fillRequest(rpc::schema::Request::Builder request, const AttemptOrder& order, const ClientMessage& message, TimePoint now)
+void fillRequest(rpc::schema::Request::Builder request, const AttemptSpec& spec, const ClientMessage& message, TimePoint now)
 {
-    auto remaining = std::chrono::duration_cast<milliseconds>(order.deadline - now).count();
-    request.setKey(rpc::toText(order.key.value()));
-    rpc::fill(request.initTicket(), order.ticket);
-    request.setService(rpc::toText(order.service.value()));
-    request.setOrganisation(rpc::toText(order.organisation.value()));
-    request.setIsRepeatable(order.isRepeatable);
+    auto remaining = std::chrono::duration_cast<milliseconds>(spec.deadline - now).count();
+    request.setKey(rpc::toText(spec.key.value()));
+    rpc::fill(request.initTicket(), spec.ticket);
+    request.setService(rpc::toText(spec.service.value()));
+    request.setOrganisation(rpc::toText(spec.organisation.value()));
+    request.setIsRepeatable(spec.isRepeatable);
     request.setRemainingMs(static_cast<std::uint32_t>(std::clamp<std::int64_t>(remaining, 0, UINT32_MAX)));
-    request.setPriority(static_cast<std::int16_t>(order.priority));
-    request.setFingerprint(order.fingerprint.value());
+    request.setPriority(static_cast<std::int16_t>(spec.priority));
+    request.setFingerprint(spec.fingerprint.value());
     request.setMethod(rpc::toText(std::string(message.method_string())));
     request.setTarget(rpc::toText(std::string(message.target())));
     fillHeaders(request, message);
     auto& body = message.body();
     request.setBody(kj::ArrayPtr<const kj::byte>(reinterpret_cast<const kj::byte*>(body.data()), body.size()));
-    request.setRunsAlone(order.runsAlone);
-    request.setPromptTokens(order.promptTokens.value());
-    request.setExpectedTokens(order.expectedOutput.value());
-    if (order.claim)
-        rpc::fill(request.initClaim(), *order.claim);
-    request.setAttachesOnly(order.attachesOnly);
+    request.setRunsAlone(spec.runsAlone);
+    request.setPromptTokens(spec.promptTokens.value());
+    request.setExpectedTokens(spec.expectedOutput.value());
+    if (spec.claim)
+        rpc::fill(request.initClaim(), *spec.claim);
+    request.setAttachesOnly(spec.attachesOnly);
 }
 
 } // namespace
@@ -98,9 +98,9 @@
 /// Takes frames of one issue. Outlived by the attempt or not: a connection that was given up may hold it for long.
 class Attempt::Sink final : public rpc::schema::FrameSink::Server {
 public:
-    Sink(std::weak_ptr<Attempt> attempt, unsigned issue)
+    Sink(std::weak_ptr<Attempt> attempt, unsigned callNumber)
         : m_attempt(std::move(attempt))
-        , m_issue(issue)
+        , m_callNumber(callNumber)
     {
     }
 
@@ -109,18 +109,18 @@
         auto attempt = m_attempt.lock();
         // Guards against late frames of a connection that was given up for silent: its bytes stand already in what the
         // new connection sends, and would come twice.
-        if (!attempt || attempt->m_issue != m_issue || attempt->m_hasEnded)
+        if (!attempt || attempt->m_callNumber != m_callNumber || attempt->m_hasEnded)
             return kj::READY_NOW;
         return attempt->onFrame(context.getParams().getFrame());
     }
 
 private:
     std::weak_ptr<Attempt> m_attempt;
-    unsigned m_issue;
+    unsigned m_callNumber;
 };
 
-Attempt::Attempt(AttemptOrder order, std::shared_ptr<Exchange> exchange, Hooks hooks)
-    : m_order(std::move(order))
+Attempt::Attempt(AttemptSpec spec, std::shared_ptr<Exchange> exchange, Hooks hooks)
+    : m_spec(std::move(spec))
     , m_exchange(std::move(exchange))
     , m_hooks(std::move(hooks))
 {
@@ -129,22 +129,22 @@
 
 Attempt::~Attempt() = default;
 
-void Attempt::issue(rpc::schema::Agent::Client agent, TimePoint now)
+void Attempt::startCall(rpc::schema::Agent::Client agent, TimePoint now)
 {
-    ++m_issue;
+    ++m_callNumber;
     auto call = agent.runRequest();
-    fillRequest(call.initRequest(), m_order, *m_exchange->message(), now);
+    fillRequest(call.initRequest(), m_spec, *m_exchange->message(), now);
     call.setOffset(m_received);
     call.setNeedsHead(!m_hasHead);
-    call.setSink(kj::heap<Sink>(weak_from_this(), m_issue));
+    call.setSink(kj::heap<Sink>(weak_from_this(), m_callNumber));
     auto weak = weak_from_this();
-    auto issue = m_issue;
+    auto callNumber = m_callNumber;
     // A call that fails has lost its connection; the link issues the attempt again or ends it.
     m_call = call.send().then(
-                            [weak, issue](auto&& answer) {
+                            [weak, callNumber](auto&& response) {
                                 auto attempt = weak.lock();
-                                if (attempt && attempt->m_issue == issue)
-                                    attempt->onOutcome(answer.getOutcome());
+                                if (attempt && attempt->m_callNumber == callNumber)
+                                    attempt->onOutcome(response.getOutcome());
                             },
                             [](kj::Exception&&) {})
                  .eagerlyEvaluate(nullptr);
@@ -153,55 +153,55 @@
 kj::Promise<void> Attempt::onFrame(rpc::schema::Frame::Reader frame)
 {
     if (frame.hasHead() && !m_hasHead)
-        takeHead(frame.getHead());
-    auto taken = takeBytes(frame.getOffset(), frame.getBytes());
+        onHead(frame.getHead());
+    auto consumed = onBytes(frame.getOffset(), frame.getBytes());
     if (!frame.hasEnd() || m_hasEnded)
-        return taken;
-    return taken.then([self = shared_from_this(), length = frame.getEnd().getLength(), digest = frame.getEnd().getDigest()]() { return self->takeEnd(length, digest); });
+        return consumed;
+    return consumed.then([self = shared_from_this(), length = frame.getEnd().getLength(), digest = frame.getEnd().getDigest()]() { return self->onEndMark(length, digest); });
 }
 
-void Attempt::takeHead(rpc::schema::ResponseHead::Reader head)
+void Attempt::onHead(rpc::schema::ResponseHead::Reader head)
 {
     m_hasHead = true;
-    AnswerHead answer;
-    answer.status = head.getStatus();
-    answer.server = m_order.ticket.agent;
+    ResponseHead response;
+    response.status = head.getStatus();
+    response.server = m_spec.ticket.agent;
     for (auto header : head.getHeaders())
-        answer.fields.insert(std::string(header.getName()), std::string(header.getValue()));
-    m_exchange->holdHead(std::move(answer));
+        response.fields.insert(std::string(header.getName()), std::string(header.getValue()));
+    m_exchange->holdHead(std::move(response));
 }
 
-kj::Promise<void> Attempt::takeBytes(std::uint64_t offset, capnp::Data::Reader bytes)
+kj::Promise<void> Attempt::onBytes(std::uint64_t offset, capnp::Data::Reader bytes)
 {
     // Guards against a gap, which would reach the client as a shortened answer that looks whole, and against a doubled
     // piece: the offset says which bytes these are.
     if (!m_hasHead || offset > m_received) {
-        end(AttemptEnd::Damaged, Verdict::MayHaveRun, AttemptReason::Other);
+        end(AttemptOutcome::Damaged, Verdict::MayHaveRun, AttemptReason::Other);
         return kj::READY_NOW;
     }
-    auto known = std::min<std::uint64_t>(m_received - offset, bytes.size());
-    auto fresh = bytes.slice(known, bytes.size());
-    if (fresh.size() == 0)
+    auto knownBytes = std::min<std::uint64_t>(m_received - offset, bytes.size());
+    auto newBytes = bytes.slice(knownBytes, bytes.size());
+    if (newBytes.size() == 0)
         return kj::READY_NOW;
     if (m_received == 0)
         m_hooks.onOutputBegan();
-    m_received += fresh.size();
-    m_digest.add({ fresh.begin(), fresh.size() });
-    return m_exchange->push(AnswerData { std::string(reinterpret_cast<const char*>(fresh.begin()), fresh.size()) });
+    m_received += newBytes.size();
+    m_digest.add({ newBytes.begin(), newBytes.size() });
+    return m_exchange->push(ResponseData { std::string(reinterpret_cast<const char*>(newBytes.begin()), newBytes.size()) });
 }
 
-kj::Promise<void> Attempt::takeEnd(std::uint64_t length, std::uint64_t digest)
+kj::Promise<void> Attempt::onEndMark(std::uint64_t length, std::uint64_t digest)
 {
     if (m_hasEnded)
         return kj::READY_NOW;
     if (length != m_received || digest != m_digest.value()) {
-        end(AttemptEnd::Damaged, Verdict::Ran, AttemptReason::Other);
+        end(AttemptOutcome::Damaged, Verdict::Ran, AttemptReason::Other);
         return kj::READY_NOW;
     }
-    m_isWhole = true;
-    auto written = m_exchange->push(AnswerEnd {});
+    m_isComplete = true;
+    auto written = m_exchange->push(ResponseEnd {});
     if (m_awaitsEndMark)
-        end(AttemptEnd::Answered, Verdict::Ran, AttemptReason::None);
+        end(AttemptOutcome::Answered, Verdict::Ran, AttemptReason::None);
     return written;
 }
 
@@ -214,28 +214,28 @@
         // The outcome can overtake the last frames, which wait their turn while the client reads slowly. The end mark
         // decides; should it never come, the deadline does.
         m_awaitsEndMark = true;
-        if (m_isWhole)
-            end(AttemptEnd::Answered, verdict, reason);
+        if (m_isComplete)
+            end(AttemptOutcome::Answered, verdict, reason);
         return;
     case rpc::schema::OutcomeKind::REFUSED:
-        return end(AttemptEnd::Refused, verdict, reason);
+        return end(AttemptOutcome::Refused, verdict, reason);
     default:
-        return end(AttemptEnd::Failed, verdict, reason, policy::CrashId(outcome.getCrash()));
+        return end(AttemptOutcome::Failed, verdict, reason, policy::CrashId(outcome.getCrash()));
     }
 }
 
-void Attempt::end(AttemptEnd end, Verdict verdict, AttemptReason reason, policy::CrashId crash)
+void Attempt::end(AttemptOutcome outcome, Verdict verdict, AttemptReason reason, policy::CrashId crash)
 {
     if (m_hasEnded)
         return;
     m_hasEnded = true;
-    m_hooks.onEnded(end, verdict, reason, crash);
+    m_hooks.onEnded(outcome, verdict, reason, crash);
 }
 
 void Attempt::abandon()
 {
     m_hasEnded = true;
-    ++m_issue;
+    ++m_callNumber;
 }
 
 } // namespace swiftloft::entry
--- a/src/entry/attempt.h
+++ b/src/entry/attempt.h
@@ -16,23 +16,23 @@
 public:
     struct Hooks {
         std::function<void()> onOutputBegan;
-        std::function<void(AttemptEnd, Verdict, AttemptReason, policy::CrashId)> onEnded;
+        std::function<void(AttemptOutcome, Verdict, AttemptReason, policy::CrashId)> onEnded;
     };
 
-    Attempt(AttemptOrder order, std::shared_ptr<Exchange> exchange, Hooks hooks);
+    Attempt(AttemptSpec spec, std::shared_ptr<Exchange> exchange, Hooks hooks);
     ~Attempt();
 
-    const AttemptOrder& order() const { return m_order; }
+    const AttemptSpec& spec() const { return m_spec; }
 
     /// Hands the request to the agent behind `agent`. Frames of an earlier issue are ignored from now on.
-    void issue(rpc::schema::Agent::Client agent, TimePoint now);
+    void startCall(rpc::schema::Agent::Client agent, TimePoint now);
 
     /// True once any part of an answer has come.
-    bool hasBegun() const { return m_hasHead; }
+    bool hasResponseHead() const { return m_hasHead; }
     bool hasEnded() const { return m_hasEnded; }
 
     /// Ends the try; later frames and outcomes are ignored.
-    void end(AttemptEnd end, Verdict verdict, AttemptReason reason, policy::CrashId crash = {});
+    void end(AttemptOutcome outcome, Verdict verdict, AttemptReason reason, policy::CrashId crash = {});
 
     /// The answer is not wanted any more: ends without telling anyone.
     void abandon();
@@ -41,20 +41,20 @@
     class Sink;
 
     kj::Promise<void> onFrame(rpc::schema::Frame::Reader frame);
-    void takeHead(rpc::schema::ResponseHead::Reader head);
-    kj::Promise<void> takeBytes(std::uint64_t offset, capnp::Data::Reader bytes);
-    kj::Promise<void> takeEnd(std::uint64_t length, std::uint64_t digest);
+    void onHead(rpc::schema::ResponseHead::Reader head);
+    kj::Promise<void> onBytes(std::uint64_t offset, capnp::Data::Reader bytes);
+    kj::Promise<void> onEndMark(std::uint64_t length, std::uint64_t digest);
     void onOutcome(rpc::schema::Outcome::Reader outcome);
 
-    AttemptOrder m_order;
+    AttemptSpec m_spec;
     std::shared_ptr<Exchange> m_exchange;
     Hooks m_hooks;
     kj::Promise<void> m_call { nullptr };
-    unsigned m_issue { 0 };
+    unsigned m_callNumber { 0 };
     rpc::BodyDigest m_digest;
     std::uint64_t m_received { 0 };
     bool m_hasHead { false };
-    bool m_isWhole { false };
+    bool m_isComplete { false };
     bool m_awaitsEndMark { false };
     bool m_hasEnded { false };
 };
--- a/src/entry/fleet.cc
+++ b/src/entry/backend-server-registry.cc
@@ -1,4 +1,4 @@
-#include "src/entry/fleet.h"
+#include "src/entry/backend-server-registry.h"
 
 #include "src/process/process-config.h"
 
@@ -28,19 +28,19 @@
     return BackendServerId(member.listed->id.value());
 }
 
-bool isSaidToLeave(const membership::ViewMember& member)
+bool isMarkedLeaving(const membership::ViewMember& member)
 {
     return member.isLeaving || member.listed->state == membership::ListedState::Leaving;
 }
 
 } // namespace
 
-Fleet::Fleet(DataCentreName dataCentre)
+BackendServerRegistry::BackendServerRegistry(DataCentreName dataCentre)
     : m_dataCentre(std::move(dataCentre))
 {
 }
 
-void Fleet::onView(const membership::View& view, TimePoint now, Effects& effects)
+void BackendServerRegistry::onView(const membership::View& view, TimePoint now, Effects& effects)
 {
     m_entries = std::max<std::size_t>(1, std::count_if(view.members.begin(), view.members.end(), isUsableEntry));
     for (auto& member : view.members) {
@@ -51,7 +51,7 @@
             add(member, effects);
             continue;
         }
-        if (isSaidToLeave(member))
+        if (isMarkedLeaving(member))
             it->second.isLeaving = true;
         updateRouter(it->second);
     }
@@ -64,10 +64,10 @@
         updateRouter(server);
         return true;
     });
-    updateHomes(view.listRevision, now);
+    updateHomeSelectors(view.listRevision, now);
 }
 
-void Fleet::add(const membership::ViewMember& member, Effects& effects)
+void BackendServerRegistry::add(const membership::ViewMember& member, Effects& effects)
 {
     auto endpoint = process::parseEndpoint(member.listed->address.value());
     if (!endpoint)
@@ -77,12 +77,12 @@
     server.service = member.listed->service;
     server.dataCentre = member.listed->dataCentre;
     server.endpoint = *endpoint;
-    server.isLeaving = isSaidToLeave(member);
+    server.isLeaving = isMarkedLeaving(member);
     effects.push_back(OpenLink { server.id, server.endpoint });
     m_servers.emplace(server.id, std::move(server));
 }
 
-void Fleet::onReport(const LinkReported& event)
+void BackendServerRegistry::onReport(const LinkReported& event)
 {
     auto it = m_servers.find(event.server);
     if (it == m_servers.end())
@@ -103,7 +103,7 @@
         m_routers.at(server.service).onReport(*server.handle, { event.now, event.report.pending, event.report.tokensPerSecond });
 }
 
-void Fleet::onRefusal(const BackendServerId& id, AttemptReason reason)
+void BackendServerRegistry::onRefusal(const BackendServerId& id, AttemptReason reason)
 {
     auto it = m_servers.find(id);
     if (it == m_servers.end())
@@ -117,7 +117,7 @@
     updateRouter(it->second);
 }
 
-void Fleet::onLinkDown(const LinkDown& event)
+void BackendServerRegistry::onLinkDown(const LinkDown& event)
 {
     auto it = m_servers.find(event.server);
     if (it == m_servers.end())
@@ -126,7 +126,7 @@
     updateRouter(it->second);
 }
 
-void Fleet::updateRouter(BackendServer& server)
+void BackendServerRegistry::updateRouter(BackendServer& server)
 {
     auto mayGetWork = isUp(server) && !server.isReserved;
     if (mayGetWork == server.handle.has_value())
@@ -146,32 +146,32 @@
     server.handle = it->second.add({ server.id, server.dataCentre, m_topology.regionOf(server.dataCentre) });
 }
 
-policy::Router* Fleet::router(const ServiceName& service)
+policy::Router* BackendServerRegistry::router(const ServiceName& service)
 {
     auto it = m_routers.find(service);
     return it == m_routers.end() ? nullptr : &it->second;
 }
 
-const policy::Router* Fleet::router(const ServiceName& service) const
+const policy::Router* BackendServerRegistry::router(const ServiceName& service) const
 {
     auto it = m_routers.find(service);
     return it == m_routers.end() ? nullptr : &it->second;
 }
 
-const BackendServer* Fleet::find(const BackendServerId& id) const
+const BackendServer* BackendServerRegistry::find(const BackendServerId& id) const
 {
     auto it = m_servers.find(id);
     return it == m_servers.end() ? nullptr : &it->second;
 }
 
-const BackendServer* Fleet::find(const ServiceName& service, policy::ServerHandle handle)
+const BackendServer* BackendServerRegistry::find(const ServiceName& service, policy::ServerHandle handle)
 {
     auto it = m_routers.find(service);
     auto id = it == m_routers.end() ? nullptr : it->second.idOf(handle);
     return id ? find(*id) : nullptr;
 }
 
-std::vector<BackendServerId> Fleet::upServers(const ServiceName& service) const
+std::vector<BackendServerId> BackendServerRegistry::upServers(const ServiceName& service) const
 {
     std::vector<BackendServerId> ids;
     for (auto& [id, server] : m_servers) {
@@ -181,14 +181,14 @@
     return ids;
 }
 
-bool Fleet::hasReserved(const ServiceName& service) const
+bool BackendServerRegistry::hasReservedServer(const ServiceName& service) const
 {
     return std::any_of(m_servers.begin(), m_servers.end(), [&](auto& entry) {
         return entry.second.service == service && isUp(entry.second) && entry.second.isReserved;
     });
 }
 
-ServiceCapacity Fleet::capacityOf(const ServiceName& service) const
+ServiceCapacity BackendServerRegistry::capacityOf(const ServiceName& service) const
 {
     ServiceCapacity capacity;
     capacity.entries = m_entries;
@@ -201,13 +201,13 @@
     return capacity;
 }
 
-policy::RequestHome* Fleet::homes(const ServiceName& service)
+policy::RequestHome* BackendServerRegistry::homeSelector(const ServiceName& service)
 {
-    auto it = m_homes.find(service);
-    return it == m_homes.end() ? nullptr : &it->second;
+    auto it = m_homeSelectors.find(service);
+    return it == m_homeSelectors.end() ? nullptr : &it->second;
 }
 
-void Fleet::updateHomes(Revision revision, TimePoint now)
+void BackendServerRegistry::updateHomeSelectors(Revision revision, TimePoint now)
 {
     if (m_listRevision && revision <= *m_listRevision)
         return;
@@ -215,12 +215,12 @@
     boost::unordered_flat_map<ServiceName, std::vector<BackendServerId>, std::hash<ServiceName>> agents;
     for (auto& [id, server] : m_servers)
         agents[server.service].push_back(id);
-    for (auto& [service, home] : m_homes)
+    for (auto& [service, home] : m_homeSelectors)
         agents.try_emplace(service);
     for (auto& [service, ids] : agents) {
-        auto it = m_homes.find(service);
-        if (it == m_homes.end())
-            it = m_homes.emplace(service, policy::RequestHome::create({}).value()).first;
+        auto it = m_homeSelectors.find(service);
+        if (it == m_homeSelectors.end())
+            it = m_homeSelectors.emplace(service, policy::RequestHome::create({}).value()).first;
         it->second.onList(policy::ListRevision(revision.value()), std::move(ids), now);
     }
 }
--- a/src/entry/fleet.h
+++ b/src/entry/backend-server-registry.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "src/entry/admission.h"
+#include "src/entry/admission-controller.h"
 #include "src/entry/events.h"
 
 #include <swiftloft/membership/view.h>
@@ -36,9 +36,9 @@
 ///
 /// Three sources say that a server must get none: the published list, what its own agent reports, and what peers say.
 /// Whichever says so first wins; within one incarnation nothing takes it back.
-class Fleet {
+class BackendServerRegistry {
 public:
-    explicit Fleet(DataCentreName dataCentre);
+    explicit BackendServerRegistry(DataCentreName dataCentre);
 
     /// Opens links to servers that are new in `view` and closes those that are gone from it.
     void onView(const membership::View& view, TimePoint now, Effects& effects);
@@ -60,25 +60,25 @@
     /// Ids of the servers of a service that are up and not leaving, reserved ones included.
     std::vector<BackendServerId> upServers(const ServiceName& service) const;
     /// True when a server of the service gets no work only because a suspect has it to itself.
-    bool hasReserved(const ServiceName& service) const;
+    bool hasReservedServer(const ServiceName& service) const;
     /// Servers of a service that may get new work, and their speeds added up.
     ServiceCapacity capacityOf(const ServiceName& service) const;
     /// The homes of client keys of a service; null for a service without any listed server.
-    policy::RequestHome* homes(const ServiceName& service);
+    policy::RequestHome* homeSelector(const ServiceName& service);
 
     const boost::unordered_flat_map<BackendServerId, BackendServer, std::hash<BackendServerId>>& servers() const { return m_servers; }
 
 private:
     void add(const membership::ViewMember& member, Effects& effects);
     void updateRouter(BackendServer& server);
-    void updateHomes(Revision revision, TimePoint now);
+    void updateHomeSelectors(Revision revision, TimePoint now);
 
     std::size_t m_entries { 1 };
     DataCentreName m_dataCentre;
     membership::Topology m_topology;
     boost::unordered_flat_map<BackendServerId, BackendServer, std::hash<BackendServerId>> m_servers;
     boost::unordered_flat_map<ServiceName, policy::Router, std::hash<ServiceName>> m_routers;
-    boost::unordered_flat_map<ServiceName, policy::RequestHome, std::hash<ServiceName>> m_homes;
+    boost::unordered_flat_map<ServiceName, policy::RequestHome, std::hash<ServiceName>> m_homeSelectors;
     std::optional<Revision> m_listRevision;
 };
 
--- a/src/entry/daemon.cc
+++ b/src/entry/daemon.cc
@@ -45,7 +45,7 @@
     return "";
 }
 
-process::StatusAnswer jsonAnswer(const json::object& object, unsigned status = 200)
+process::StatusAnswer jsonResponse(const json::object& object, unsigned status = 200)
 {
     return { status, "application/json", json::serialize(object) + "\n" };
 }
@@ -109,8 +109,8 @@
     for (unsigned n = 0; n < m_config.trafficThreads; ++n) {
         Worker::Hooks hooks;
         hooks.post = [this](std::vector<Event> events) { post(std::move(events)); };
-        hooks.page = [this](std::string target, Reply reply) {
-            boost::asio::post(m_control, [this, target = std::move(target), reply = std::move(reply)] { answerPage(target, reply); });
+        hooks.statusPage = [this](std::string target, Reply reply) {
+            boost::asio::post(m_control, [this, target = std::move(target), reply = std::move(reply)] { replyWithPage(target, reply); });
         };
         hooks.onFinished = [this] { boost::asio::post(m_control, [this] { onWorkerFinished(); }); };
         WorkerOptions options { WorkerIndex(n), m_incarnation, m_config.id, m_config.listen };
@@ -123,12 +123,12 @@
 void Daemon::startFleetControl()
 {
     daemon::FleetControl::Hooks hooks;
-    hooks.onSettings = [this](Revision revision, const settings::Tree& tree) { apply(SettingsInForce { revision, tree, Clock::now() }); };
+    hooks.onSettings = [this](Revision revision, const settings::Tree& tree) { apply(SettingsActivated { revision, tree, Clock::now() }); };
     hooks.onViewChanged = [this](const std::shared_ptr<const membership::View>& view) { apply(ViewChanged { view, Clock::now() }); };
     hooks.onNote = [this](std::string_view note) {
-        auto loan = decodeLoan(note);
-        if (loan)
-            apply(LoanArrived { std::move(*loan), Clock::now() });
+        auto message = decodeLendingMessage(note);
+        if (message)
+            apply(LendingMessageReceived { std::move(*message), Clock::now() });
     };
     hooks.onLeaving = [this] { apply(LeaveRequested { Clock::now() }); };
     m_fleetControl = std::make_unique<daemon::FleetControl>(m_control, m_config, membership::Role::Entry, m_incarnation, std::move(hooks));
@@ -154,7 +154,7 @@
         Effects effects;
         for (auto& event : events)
             m_reducer.apply(event, effects);
-        carryOut(effects);
+        execute(effects);
     });
 }
 
@@ -162,36 +162,36 @@
 {
     Effects effects;
     m_reducer.apply(event, effects);
-    carryOut(effects);
+    execute(effects);
 }
 
-void Daemon::carryOut(const Effects& all)
+void Daemon::execute(const Effects& effects)
 {
-    if (all.empty())
+    if (effects.empty())
         return;
     std::vector<std::shared_ptr<Effects>> byWorker(m_workers.size());
-    auto give = [&](std::size_t n, const Effect& effect) {
+    auto enqueue = [&](std::size_t n, const Effect& effect) {
         if (!byWorker[n])
             byWorker[n] = std::make_shared<Effects>();
         byWorker[n]->push_back(effect);
     };
-    for (auto& effect : all) {
-        if (auto answer = std::get_if<RecordAnswer>(&effect)) {
-            record(*answer);
+    for (auto& effect : effects) {
+        if (auto completion = std::get_if<RecordCompletion>(&effect)) {
+            recordCompletion(*completion);
             continue;
         }
-        if (auto loan = std::get_if<SendLoan>(&effect)) {
-            m_fleetControl->sendNote(loan->to.value(), encode(loan->loan));
+        if (auto message = std::get_if<SendLendingMessage>(&effect)) {
+            m_fleetControl->sendNote(message->to.value(), encode(message->message));
             continue;
         }
         if (std::holds_alternative<Finish>(effect))
             m_finishedWorkers = 0;
         if (auto worker = workerOf(effect)) {
-            give(worker->value(), effect);
+            enqueue(worker->value(), effect);
             continue;
         }
         for (std::size_t n = 0; n < m_workers.size(); ++n)
-            give(n, effect);
+            enqueue(n, effect);
     }
     for (std::size_t n = 0; n < m_workers.size(); ++n) {
         if (byWorker[n])
@@ -199,18 +199,18 @@
     }
 }
 
-void Daemon::record(const RecordAnswer& answer)
+void Daemon::recordCompletion(const RecordCompletion& completion)
 {
-    auto reason = answer.refusal ? std::string(infoOf(*answer.refusal).name) : answer.isGood ? "none"
-                                                                                             : "slow";
-    m_metrics.count("swiftloft_requests_total", { { "service", answer.service.value() }, { "organisation", answer.organisation.value() }, { "outcome", answer.isGood ? "good" : "bad" }, { "reason", answer.isGood ? "" : reason } });
-    m_burn.add(Clock::now(), answer.service, answer.organisation, answer.isGood ? burn::Outcome::Good : burn::Outcome::Bad, reason);
-    if (answer.refusal)
+    auto reason = completion.refusal ? std::string(infoOf(*completion.refusal).name) : completion.isWithinObjective ? "none"
+                                                                                                                    : "slow";
+    m_metrics.count("swiftloft_requests_total", { { "service", completion.service.value() }, { "organisation", completion.organisation.value() }, { "outcome", completion.isWithinObjective ? "good" : "bad" }, { "reason", completion.isWithinObjective ? "" : reason } });
+    m_burn.add(Clock::now(), completion.service, completion.organisation, completion.isWithinObjective ? burn::Outcome::Good : burn::Outcome::Bad, reason);
+    if (completion.refusal)
         return;
-    process::Labels labels { { "service", answer.service.value() } };
-    m_metrics.observe("swiftloft_first_byte_seconds", labels, std::chrono::duration<double>(answer.firstByte).count());
-    m_metrics.observe("swiftloft_answer_seconds", labels, std::chrono::duration<double>(answer.total).count());
-    m_metrics.count("swiftloft_attempts_total", labels, answer.attempts);
+    process::Labels labels { { "service", completion.service.value() } };
+    m_metrics.observe("swiftloft_first_byte_seconds", labels, std::chrono::duration<double>(completion.firstByte).count());
+    m_metrics.observe("swiftloft_answer_seconds", labels, std::chrono::duration<double>(completion.total).count());
+    m_metrics.count("swiftloft_attempts_total", labels, completion.attempts);
 }
 
 void Daemon::tick()
@@ -223,12 +223,12 @@
     });
 }
 
-void Daemon::answerPage(const std::string& target, const Reply& reply)
+void Daemon::replyWithPage(const std::string& target, const Reply& reply)
 {
-    reply(page(target));
+    reply(statusPage(target));
 }
 
-process::StatusAnswer Daemon::page(const std::string& target)
+process::StatusAnswer Daemon::statusPage(const std::string& target)
 {
     auto path = target.substr(0, target.find('?'));
     if (path == "/healthz")
@@ -259,7 +259,7 @@
 
 process::StatusAnswer Daemon::metrics()
 {
-    m_metrics.set("swiftloft_requests_in_progress", {}, static_cast<double>(m_reducer.inProgress()));
+    m_metrics.set("swiftloft_requests_in_progress", {}, static_cast<double>(m_reducer.requestsInProgress()));
     if (auto revision = m_reducer.settingsRevision())
         m_metrics.set("swiftloft_settings_revision", {}, static_cast<double>(revision->value()));
     return { 200, "text/plain; version=0.0.4", m_metrics.text() };
@@ -270,17 +270,17 @@
     ServiceName name(queryValue(target, "service"));
     auto service = m_reducer.service(name);
     if (!service)
-        return jsonAnswer({ { "message", "no such service in the settings; ask with ?service=NAME" } }, 404);
+        return jsonResponse({ { "message", "no such service in the settings; ask with ?service=NAME" } }, 404);
     auto now = Clock::now();
     membership::AddressAnswerOptions options;
     options.keepFor = std::chrono::duration_cast<milliseconds>(service->entriesKeepTime);
-    auto answer = membership::answerAddresses(*m_fleetControl->view(), std::nullopt, name, ++m_answers + m_incarnation.value(), now, options);
+    auto answer = membership::answerAddresses(*m_fleetControl->view(), std::nullopt, name, ++m_addressAnswers + m_incarnation.value(), now, options);
     json::array addresses;
     for (auto& address : answer.addresses)
         addresses.emplace_back(toJson(address.value()));
     auto keep = std::chrono::floor<seconds>(answer.keepUntil - now);
     auto until = std::chrono::time_point_cast<seconds>(std::chrono::system_clock::now() + keep);
-    return jsonAnswer({ { "service", toJson(name.value()) }, { "addresses", std::move(addresses) },
+    return jsonResponse({ { "service", toJson(name.value()) }, { "addresses", std::move(addresses) },
         { "keep_until", toJson(fmt::format("{:%Y-%m-%dT%H:%M:%S}Z", until)) }, { "keep_seconds", keep.count() } });
 }
 
@@ -296,8 +296,8 @@
 {
     ServiceName name(queryValue(target, "service"));
     if (!m_reducer.service(name))
-        return jsonAnswer({ { "message", "no such service in the settings; ask with ?service=NAME" } }, 404);
-    auto router = m_reducer.fleet().router(name);
+        return jsonResponse({ { "message", "no such service in the settings; ask with ?service=NAME" } }, 404);
+    auto router = m_reducer.serverRegistry().router(name);
     auto rows = router ? router->explain({}, Clock::now()) : std::vector<policy::RouteExplanation>();
     return { 200, "application/json", toJson(RoutePage { InstanceId(m_config.id), m_config.dataCentre, name, rows }) };
 }
@@ -316,16 +316,16 @@
         body["refused_revision"] = refused->revision.value();
         body["refused_reason"] = toJson(refused->problem);
     }
-    body["in_flight"] = m_reducer.inProgress();
+    body["in_flight"] = m_reducer.requestsInProgress();
     json::array servers;
-    for (auto& [id, server] : m_reducer.fleet().servers()) {
+    for (auto& [id, server] : m_reducer.serverRegistry().servers()) {
         auto state = server.isLeaving ? "leaving" : !server.linkedWorkers ? "unreachable"
             : server.isEngineUp                                           ? "up"
                                                                           : "engine-down";
         servers.push_back(json::object { { "id", toJson(id.value()) }, { "service", toJson(server.service.value()) }, { "data_centre", toJson(server.dataCentre.value()) }, { "state", state } });
     }
     body["backend_servers"] = std::move(servers);
-    return jsonAnswer(body);
+    return jsonResponse(body);
 }
 
 } // namespace swiftloft::entry
--- a/src/entry/daemon.h
+++ b/src/entry/daemon.h
@@ -33,14 +33,14 @@
     void startWorkers();
     void post(std::vector<Event> events);
     void apply(const Event& event);
-    void carryOut(const Effects& effects);
-    void record(const RecordAnswer& answer);
+    void execute(const Effects& effects);
+    void recordCompletion(const RecordCompletion& completion);
     void tick();
     void leave();
     void onWorkerFinished();
 
-    void answerPage(const std::string& target, const Reply& reply);
-    process::StatusAnswer page(const std::string& target);
+    void replyWithPage(const std::string& target, const Reply& reply);
+    process::StatusAnswer statusPage(const std::string& target);
     process::StatusAnswer readiness() const;
     process::StatusAnswer metrics();
     process::StatusAnswer addresses(const std::string& target);
@@ -60,7 +60,7 @@
     std::unique_ptr<daemon::FleetControl> m_fleetControl;
     std::vector<std::unique_ptr<Worker>> m_workers;
     std::vector<std::thread> m_threads;
-    std::uint64_t m_answers { 0 };
+    std::uint64_t m_addressAnswers { 0 };
     std::size_t m_finishedWorkers { 0 };
 };
 
--- a/src/entry/events.h
+++ b/src/entry/events.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "src/entry/loan.h"
+#include "src/entry/lending-message.h"
 #include "src/entry/refusal.h"
 
 #include <swiftloft/ids.h>
@@ -61,7 +61,7 @@
     TimePoint now;
 };
 
-enum class AttemptEnd {
+enum class AttemptOutcome {
     /// The whole answer was passed on.
     Answered,
     /// The agent refused it.
@@ -92,7 +92,7 @@
 struct AttemptEnded {
     RequestId id;
     AttemptSerial attempt;
-    AttemptEnd end;
+    AttemptOutcome outcome;
     Verdict verdict;
     AttemptReason reason;
     TimePoint now;
@@ -101,7 +101,7 @@
 };
 
 /// A home of a client's key has answered a claim; without a reply it could not be reached in time.
-struct ClaimAnswered {
+struct ClaimCompleted {
     RequestId id;
     policy::ClaimId claim;
     BackendServerId home;
@@ -109,7 +109,7 @@
     TimePoint now;
 };
 
-struct ClientGone {
+struct ClientDisconnected {
     RequestId id;
     TimePoint now;
 };
@@ -146,12 +146,12 @@
     TimePoint now;
 };
 
-struct LoanArrived {
-    Loan loan;
+struct LendingMessageReceived {
+    LendingMessage message;
     TimePoint now;
 };
 
-struct SettingsInForce {
+struct SettingsActivated {
     Revision revision;
     settings::Tree tree;
     TimePoint now;
@@ -165,11 +165,11 @@
     TimePoint now;
 };
 
-using Event = std::variant<RequestArrived, OutputBegan, AttemptEnded, ClaimAnswered, ClientGone, LinkReported, LinkDown, ViewChanged,
-    LoanArrived, SettingsInForce, LeaveRequested, Tick>;
+using Event = std::variant<RequestArrived, OutputBegan, AttemptEnded, ClaimCompleted, ClientDisconnected, LinkReported, LinkDown, ViewChanged,
+    LendingMessageReceived, SettingsActivated, LeaveRequested, Tick>;
 
 /// What an attempt carries beside the client's own message.
-struct AttemptOrder {
+struct AttemptSpec {
     RequestId id;
     AttemptSerial attempt;
     RequestKey key;
@@ -191,7 +191,7 @@
 
 struct StartAttempt {
     WorkerIndex worker;
-    AttemptOrder order;
+    AttemptSpec spec;
 };
 
 /// Asks a home of a client's key for it.
@@ -217,14 +217,14 @@
 };
 
 /// The final answer of a request whose output has not begun.
-struct Refuse {
+struct RefuseRequest {
     WorkerIndex worker;
     RequestId id;
     Refusal refusal;
 };
 
 /// Ends an answer whose output has begun, in a way that can't be taken for whole.
-struct CutAnswer {
+struct AbortResponse {
     WorkerIndex worker;
     RequestId id;
     Refusal refusal;
@@ -246,7 +246,7 @@
 };
 
 /// A request has got its final answer; for metrics and service-level burn.
-struct RecordAnswer {
+struct RecordCompletion {
     ServiceName service;
     OrganisationName organisation;
     Verdict verdict;
@@ -254,14 +254,14 @@
     std::optional<RefusalReason> refusal;
     microseconds firstByte { 0 };
     microseconds total { 0 };
-    bool isGood { false };
+    bool isWithinObjective { false };
     unsigned attempts { 0 };
 };
 
 /// A message of the lending protocol for another entry; best effort.
-struct SendLoan {
+struct SendLendingMessage {
     InstanceId to;
-    Loan loan;
+    LendingMessage message;
 };
 
 /// From now on each answer tells its client to ask for addresses again.
@@ -276,7 +276,7 @@
 struct Finish {
 };
 
-using Effect = std::variant<StartAttempt, SendLoan, SendClaim, SendRelease, CancelAttempt, Refuse, CutAnswer, OpenLink, CloseLink, PublishSuspicions, RecordAnswer, AnnounceLeaving,
+using Effect = std::variant<StartAttempt, SendLendingMessage, SendClaim, SendRelease, CancelAttempt, RefuseRequest, AbortResponse, OpenLink, CloseLink, PublishSuspicions, RecordCompletion, AnnounceLeaving,
     CloseListeners, Finish>;
 using Effects = std::vector<Effect>;
 
--- a/src/entry/exchange.cc
+++ b/src/entry/exchange.cc
@@ -8,48 +8,48 @@
 Exchange::Exchange(boost::asio::io_context& ioContext, RequestId id, std::shared_ptr<const ClientMessage> message)
     : m_id(id)
     , m_message(std::move(message))
-    , m_arrived(ioContext, TimePoint::max())
+    , m_partAvailable(ioContext, TimePoint::max())
 {
 }
 
-kj::Promise<void> Exchange::push(Piece piece)
+kj::Promise<void> Exchange::push(ResponsePart part)
 {
-    if (m_isGone)
+    if (m_isClosed)
         return kj::READY_NOW;
-    if (m_heldHead && !std::holds_alternative<OwnAnswer>(piece)) {
-        m_pieces.push_back(Queued { std::move(*m_heldHead), {} });
+    if (m_heldHead && !std::holds_alternative<LocalResponse>(part)) {
+        m_parts.push_back(QueuedPart { std::move(*m_heldHead), {} });
         m_heldHead.reset();
     }
-    auto taken = kj::newPromiseAndFulfiller<void>();
-    m_pieces.push_back(Queued { std::move(piece), kj::mv(taken.fulfiller) });
-    m_arrived.cancel();
-    return kj::mv(taken.promise);
+    auto consumed = kj::newPromiseAndFulfiller<void>();
+    m_parts.push_back(QueuedPart { std::move(part), kj::mv(consumed.fulfiller) });
+    m_partAvailable.cancel();
+    return kj::mv(consumed.promise);
 }
 
-boost::asio::awaitable<Piece> Exchange::next()
+boost::asio::awaitable<ResponsePart> Exchange::next()
 {
-    while (m_pieces.empty()) {
-        if (m_isGone)
+    while (m_parts.empty()) {
+        if (m_isClosed)
             throw boost::system::system_error(boost::asio::error::connection_aborted);
         boost::system::error_code ec;
-        co_await m_arrived.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, ec));
+        co_await m_partAvailable.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, ec));
     }
-    auto queued = std::move(m_pieces.front());
-    m_pieces.pop_front();
-    if (queued.taken.get())
-        queued.taken->fulfill();
-    co_return std::move(queued.piece);
+    auto queued = std::move(m_parts.front());
+    m_parts.pop_front();
+    if (queued.consumed.get())
+        queued.consumed->fulfill();
+    co_return std::move(queued.part);
 }
 
-void Exchange::setGone()
+void Exchange::close()
 {
-    m_isGone = true;
-    for (auto& queued : m_pieces) {
-        if (queued.taken.get())
-            queued.taken->fulfill();
+    m_isClosed = true;
+    for (auto& queued : m_parts) {
+        if (queued.consumed.get())
+            queued.consumed->fulfill();
     }
-    m_pieces.clear();
-    m_arrived.cancel();
+    m_parts.clear();
+    m_partAvailable.cancel();
 }
 
 } // namespace swiftloft::entry
--- a/src/entry/loan.cc
+++ b/src/entry/lending-message.cc
@@ -1,4 +1,4 @@
-#include "src/entry/loan.h"
+#include "src/entry/lending-message.h"
 
 #include "src/entry/loan.capnp.h"
 #include "src/rpc/convert.h"
@@ -75,40 +75,40 @@
     return std::isfinite(value) && value >= 0;
 }
 
-Result<Loan> read(schema::Loan::Reader from)
+Result<LendingMessage> read(schema::Loan::Reader from)
 {
-    Loan loan;
+    LendingMessage message;
     if (from.isRequest())
-        loan = read(from.getRequest());
+        message = read(from.getRequest());
     else if (from.isGrant())
-        loan = read(from.getGrant());
+        message = read(from.getGrant());
     else
         return malformed("unknown kind");
-    auto hasAmounts = std::visit([](auto& it) { return isAmount(it.requests) && isAmount(it.tokens); }, loan);
+    auto hasAmounts = std::visit([](auto& it) { return isAmount(it.requests) && isAmount(it.tokens); }, message);
     if (!hasAmounts)
         return malformed("an amount is negative or no number");
-    return loan;
+    return message;
 }
 
 } // namespace
 
-std::string encode(const Loan& loan)
+std::string encode(const LendingMessage& message)
 {
     capnp::MallocMessageBuilder builder;
     auto root = builder.initRoot<schema::Loan>();
-    if (auto request = std::get_if<policy::LendRequest>(&loan))
+    if (auto request = std::get_if<policy::LendRequest>(&message))
         write(root.initRequest(), *request);
     else
-        write(root.initGrant(), std::get<policy::LendGrant>(loan));
+        write(root.initGrant(), std::get<policy::LendGrant>(message));
     kj::VectorOutputStream out;
     capnp::writePackedMessage(out, builder);
     auto bytes = out.getArray();
     return { reinterpret_cast<const char*>(bytes.begin()), bytes.size() };
 }
 
-Result<Loan> decodeLoan(std::string_view bytes)
+Result<LendingMessage> decodeLendingMessage(std::string_view bytes)
 {
-    Result<Loan> result = malformed("not a message");
+    Result<LendingMessage> result = malformed("not a message");
     auto failure = kj::runCatchingExceptions([&] {
         kj::ArrayInputStream in(kj::ArrayPtr<const kj::byte>(reinterpret_cast<const kj::byte*>(bytes.data()), bytes.size()));
         capnp::ReaderOptions options;
--- a/src/entry/loan.h
+++ b/src/entry/lending-message.h
@@ -10,12 +10,12 @@
 namespace swiftloft::entry {
 
 /// A message of the lending protocol between entries.
-using Loan = std::variant<policy::LendRequest, policy::LendGrant>;
+using LendingMessage = std::variant<policy::LendRequest, policy::LendGrant>;
 
-std::string encode(const Loan& loan);
+std::string encode(const LendingMessage& message);
 
 /// Fails with `MalformedInput` on bytes that are no loan, and on amounts that are negative or no numbers. Any bytes are
 /// safe to pass.
-Result<Loan> decodeLoan(std::string_view bytes);
+Result<LendingMessage> decodeLendingMessage(std::string_view bytes);
 
 } // namespace swiftloft::entry
--- a/src/entry/reducer-attempts.cc
+++ b/src/entry/reducer-attempts.cc
@@ -6,23 +6,23 @@
 namespace {
 
 /// The agent takes no work now, and did nothing for this request.
-bool takesNoWork(const AttemptEnded& event)
+bool isServerUnavailable(const AttemptEnded& event)
 {
-    return event.end == AttemptEnd::Refused && event.verdict == Verdict::NotRun
+    return event.outcome == AttemptOutcome::Refused && event.verdict == Verdict::NotRun
         && (event.reason == AttemptReason::Leaving || event.reason == AttemptReason::EngineDown || event.reason == AttemptReason::Overloaded);
 }
 
 std::optional<policy::FailureKind> failureKind(const AttemptEnded& event)
 {
-    switch (event.end) {
-    case AttemptEnd::Answered:
+    switch (event.outcome) {
+    case AttemptOutcome::Answered:
         return std::nullopt;
-    case AttemptEnd::Refused:
+    case AttemptOutcome::Refused:
         return event.reason == AttemptReason::EngineDown ? policy::FailureKind::Unreachable : policy::FailureKind::Refused;
-    case AttemptEnd::Failed:
+    case AttemptOutcome::Failed:
         return event.reason == AttemptReason::EngineCrashed ? policy::FailureKind::Crashed : policy::FailureKind::TimedOut;
-    case AttemptEnd::Lost:
-    case AttemptEnd::Damaged:
+    case AttemptOutcome::Lost:
+    case AttemptOutcome::Damaged:
         return policy::FailureKind::Unreachable;
     }
     return policy::FailureKind::Unreachable;
@@ -30,7 +30,7 @@
 
 RefusalReason refusalReason(const AttemptEnded& event)
 {
-    if (event.end == AttemptEnd::Damaged)
+    if (event.outcome == AttemptOutcome::Damaged)
         return RefusalReason::AnswerDamaged;
     switch (event.reason) {
     case AttemptReason::DeadlinePassed:
@@ -44,7 +44,7 @@
     default:
         break;
     }
-    if (event.end != AttemptEnd::Refused)
+    if (event.outcome != AttemptOutcome::Refused)
         return RefusalReason::BackendServerFailed;
     return event.reason == AttemptReason::WrongIncarnation ? RefusalReason::HomeUnreachable : RefusalReason::NoBackendServer;
 }
@@ -61,7 +61,7 @@
     if (!request.attempt->isRouted)
         return;
     auto observed = std::chrono::duration_cast<microseconds>(event.now - request.attempt->startedAt);
-    if (auto router = m_fleet.router(request.resolved.service->name))
+    if (auto router = m_serverRegistry.router(request.resolved.service->name))
         router->onFirstByte(request.attempt->choice, observed, event.now);
 }
 
@@ -69,14 +69,14 @@
 {
     if (!request.attempt)
         return;
-    auto router = m_fleet.router(request.resolved.service->name);
+    auto router = m_serverRegistry.router(request.resolved.service->name);
     if (router && request.attempt->isRouted) {
         if (failure)
             router->onFail(request.attempt->choice, *failure, now);
         else
             router->onFinish(request.attempt->choice, now);
     }
-    if (request.attempt->isAlone)
+    if (request.attempt->isIsolated)
         m_quarantine.onEndAlone(request.resolved.fingerprint);
     request.attempt.reset();
 }
@@ -95,25 +95,25 @@
         m_quarantine.onCrash({ event.crash, { request.resolved.fingerprint } }, event.now);
         publishSuspicions(true, event.now, effects);
     }
-    if (takesNoWork(event)) {
+    if (isServerUnavailable(event)) {
         // Its report is older than its refusal. Without this the next requests would go there as well until a newer
         // report comes, each at the price of a retry. Each server can refuse so once, so this ends.
-        m_fleet.onRefusal(server, event.reason);
+        m_serverRegistry.onRefusal(server, event.reason);
         if (!request.needsClaim() && event.reason == AttemptReason::Overloaded)
-            return waitForReserved(event.id, event.now);
+            return waitForReservedServer(event.id, event.now);
         if (!request.needsClaim())
             return dispatch(event.id, request, event.now, effects);
     }
-    if (event.end != AttemptEnd::Answered)
-        return retryOrAnswer(event.id, request, event, effects);
+    if (event.outcome != AttemptOutcome::Answered)
+        return retryOrFail(event.id, request, event, effects);
     if (!m_quarantine.empty() && !m_quarantine.onSuccess(request.resolved.fingerprint, event.now).empty())
         publishSuspicions(true, event.now, effects);
-    m_retryDesk.onSuccess({ request.resolved.service->name, request.resolved.organisation->name });
-    recordAnswer(request, std::nullopt, event.now, effects);
-    remove(event.id, event.now, effects);
+    m_retryController.onSuccess({ request.resolved.service->name, request.resolved.organisation->name });
+    recordCompletion(request, std::nullopt, event.now, effects);
+    removeRequest(event.id, event.now, effects);
 }
 
-void Reducer::retryOrAnswer(RequestId id, Request& request, const AttemptEnded& event, Effects& effects)
+void Reducer::retryOrFail(RequestId id, Request& request, const AttemptEnded& event, Effects& effects)
 {
     policy::FailedAttempt failed;
     failed.traffic = { request.resolved.service->name, request.resolved.organisation->name };
@@ -122,7 +122,7 @@
     failed.delivered = policy::OutputOffset(request.firstByteAt ? 1 : 0);
     failed.attempts = request.attempts;
     failed.deadline = request.resolved.deadline;
-    auto decision = m_retryDesk.decide(failed, event.now, m_generator);
+    auto decision = m_retryController.decide(failed, event.now, m_generator);
     if (decision.action == policy::RetryAction::Retry) {
         m_retries.emplace(decision.at, id);
         return;
@@ -130,7 +130,7 @@
     Refusal refusal;
     refusal.reason = refusalReason(event);
     refusal.retryAfter = decision.retryAfter;
-    giveUp(id, request, std::move(refusal), event.now, effects);
+    failRequest(id, request, std::move(refusal), event.now, effects);
 }
 
 } // namespace swiftloft::entry
--- a/src/entry/reducer-claims.cc
+++ b/src/entry/reducer-claims.cc
@@ -5,73 +5,73 @@
 
 namespace {
 
-constexpr milliseconds claimAnswerLimit { 1000 };
+constexpr milliseconds claimReplyTimeout { 1000 };
 constexpr seconds claimRetryAfter { 2 };
 
 } // namespace
 
-void Reducer::beginClaim(RequestId id, Request& request, TimePoint now, Effects& effects)
+void Reducer::startClaim(RequestId id, Request& request, TimePoint now, Effects& effects)
 {
     policy::ClaimRequest claim;
     claim.key = { request.resolved.organisation->name, *request.info->clientKey };
     claim.claim = { m_options.incarnation, ++m_lastClaim };
     std::vector<BackendServerId> homes;
-    if (auto all = m_fleet.homes(request.resolved.service->name)) {
-        homes = all->homesOf(claim.key, now);
-        claim.revision = all->revision();
+    if (auto selector = m_serverRegistry.homeSelector(request.resolved.service->name)) {
+        homes = selector->homesOf(claim.key, now);
+        claim.revision = selector->revision();
     }
     if (!homes.empty())
         claim.runner = homes.front();
     request.claim.emplace(std::move(claim), std::move(homes));
-    carryOut(id, request, request.claim->start(), now, effects);
+    applyClaimEffects(id, request, request.claim->start(), now, effects);
 }
 
-void Reducer::carryOut(RequestId id, Request& request, const policy::ClaimEffects& claimEffects, TimePoint now, Effects& effects)
+void Reducer::applyClaimEffects(RequestId id, Request& request, const policy::ClaimEffects& claimEffects, TimePoint now, Effects& effects)
 {
     auto worker = request.worker;
     auto claim = request.claim->request();
     for (auto& effect : claimEffects) {
         switch (effect.kind) {
         case policy::ClaimEffectKind::SendClaim:
-            effects.push_back(SendClaim { worker, id, effect.to, claim, now + claimAnswerLimit });
+            effects.push_back(SendClaim { worker, id, effect.to, claim, now + claimReplyTimeout });
             break;
         case policy::ClaimEffectKind::SendRelease:
             effects.push_back(SendRelease { worker, effect.to, claim });
             break;
         case policy::ClaimEffectKind::SendRun:
         case policy::ClaimEffectKind::Attach:
-            startClaimed(id, request, effect, now, effects);
+            startClaimedAttempt(id, request, effect, now, effects);
             return;
         case policy::ClaimEffectKind::Refuse:
             Refusal refusal;
             refusal.reason = RefusalReason::HomeUnreachable;
             refusal.retryAfter = claimRetryAfter;
             refusal.details = std::string("the key can't be claimed: ") + std::string(policy::toString(effect.refusal));
-            giveUp(id, request, std::move(refusal), now, effects);
+            failRequest(id, request, std::move(refusal), now, effects);
             return;
         }
     }
 }
 
-void Reducer::startClaimed(RequestId id, Request& request, const policy::ClaimEffect& effect, TimePoint now, Effects& effects)
+void Reducer::startClaimedAttempt(RequestId id, Request& request, const policy::ClaimEffect& effect, TimePoint now, Effects& effects)
 {
     auto isAttach = effect.kind == policy::ClaimEffectKind::Attach;
-    auto server = m_fleet.find(effect.to);
+    auto server = m_serverRegistry.find(effect.to);
     // The grant names the incarnation that gave it. Another one has forgotten it and must not get the request.
     auto isKnown = server && server->incarnation && (isAttach || *server->incarnation == effect.incarnation);
     if (!isKnown) {
         Refusal refusal;
         refusal.reason = RefusalReason::HomeUnreachable;
         refusal.retryAfter = claimRetryAfter;
-        return giveUp(id, request, std::move(refusal), now, effects);
+        return failRequest(id, request, std::move(refusal), now, effects);
     }
     Attempt attempt;
     attempt.server = server->id;
     attempt.isRouted = false;
-    start(id, request, std::move(attempt), now, effects, request.claim->request(), isAttach);
+    startAttempt(id, request, std::move(attempt), now, effects, request.claim->request(), isAttach);
 }
 
-void Reducer::on(const ClaimAnswered& event, Effects& effects)
+void Reducer::on(const ClaimCompleted& event, Effects& effects)
 {
     auto it = m_requests.find(event.id);
     if (it == m_requests.end() || !it->second.claim)
@@ -81,7 +81,7 @@
     if (request.claim->request().claim != event.claim || request.claim->isDone())
         return;
     auto next = event.reply ? request.claim->onReply(event.home, *event.reply) : request.claim->onUnreachable(event.home);
-    carryOut(event.id, request, next, event.now, effects);
+    applyClaimEffects(event.id, request, next, event.now, effects);
 }
 
 } // namespace swiftloft::entry
--- a/src/entry/reducer.cc
+++ b/src/entry/reducer.cc
@@ -14,17 +14,17 @@
 constexpr seconds shortRetryAfter { 1 };
 constexpr milliseconds housekeepingInterval { 250 };
 /// Between two looks whether a server that a suspect has to itself is free again.
-constexpr milliseconds reservedWait { 50 };
+constexpr milliseconds reservedRetryInterval { 50 };
 /// How long a request over its entry's share waits for a peer's grant: a few round trips within a region.
-constexpr milliseconds grantWait { 60 };
+constexpr milliseconds grantTimeout { 60 };
 
-RequestKey mintKey(Incarnation incarnation, RequestId id)
+RequestKey generateKey(Incarnation incarnation, RequestId id)
 {
     return RequestKey(fmt::format("{:016x}-{}", incarnation.value(), id.value()));
 }
 
 /// A client's own key only means something within its organisation.
-RequestKey joinKey(const OrganisationName& organisation, const RequestKey& clientKey)
+RequestKey scopedKey(const OrganisationName& organisation, const RequestKey& clientKey)
 {
     return RequestKey(fmt::format("{}/{}", organisation.value(), clientKey.value()));
 }
@@ -42,8 +42,8 @@
 Reducer::Reducer(ReducerOptions options, policy::CrashQuarantine quarantine)
     : m_options(std::move(options))
     , m_generator(m_options.randomSeed)
-    , m_fleet(m_options.dataCentre)
-    , m_limits(m_options.self, m_options.incarnation, m_options.isFirstStart, m_options.startedAt)
+    , m_serverRegistry(m_options.dataCentre)
+    , m_limiter(m_options.self, m_options.incarnation, m_options.isFirstStart, m_options.startedAt)
     , m_quarantine(std::move(quarantine))
 {
 }
@@ -72,7 +72,7 @@
     Request request { event.worker, event.info, boost::variant2::get<ResolvedRequest>(std::move(resolved)) };
     request.arrivedAt = event.now;
     auto& clientKey = event.info->clientKey;
-    request.key = clientKey ? joinKey(request.resolved.organisation->name, *clientKey) : mintKey(m_options.incarnation, event.id);
+    request.key = clientKey ? scopedKey(request.resolved.organisation->name, *clientKey) : generateKey(m_options.incarnation, event.id);
     // A resend under a client's own key is the same request, and another entry may have started it: a refusal here must
     // not say "not run".
     if (clientKey)
@@ -80,45 +80,45 @@
     m_deadlines.emplace(request.resolved.deadline, event.id);
     request.cost = costOf(*request.resolved.service, *request.info);
     auto it = m_requests.insert_or_assign(event.id, std::move(request)).first;
-    limit(event.id, it->second, event.now, effects);
+    applyLimits(event.id, it->second, event.now, effects);
 }
 
-void Reducer::limit(RequestId id, Request& request, TimePoint now, Effects& effects)
+void Reducer::applyLimits(RequestId id, Request& request, TimePoint now, Effects& effects)
 {
-    auto decision = m_limits.admit(request.resolved.organisation, request.cost, now, effects);
+    auto decision = m_limiter.admit(request.resolved.organisation, request.cost, now, effects);
     if (!decision.refusal) {
-        request.isLimited = true;
+        request.isCountedInLimits = true;
         return admit(id, request, now, effects);
     }
     // One round trip to a peer may bring what is missing here. It is no holding back: the wait is bounded by the time
     // that the grant itself takes.
-    if (decision.isBorrowing && now < request.arrivedAt + grantWait) {
-        m_awaitingGrant.emplace(request.arrivedAt + grantWait, id);
+    if (decision.isBorrowing && now < request.arrivedAt + grantTimeout) {
+        m_awaitingGrant.emplace(request.arrivedAt + grantTimeout, id);
         return;
     }
     Refusal refusal;
     refusal.reason = *decision.refusal;
     refusal.retryAfter = policy::retryAfter({}, decision.retryAt, now, m_generator);
-    giveUp(id, request, std::move(refusal), now, effects);
+    failRequest(id, request, std::move(refusal), now, effects);
 }
 
-void Reducer::limitWaiting(TimePoint now, Effects& effects)
+void Reducer::retryWaitingForGrant(TimePoint now, Effects& effects)
 {
     auto waiting = std::exchange(m_awaitingGrant, {});
     for (auto& [until, id] : waiting) {
         auto it = m_requests.find(id);
         if (it != m_requests.end())
-            limit(id, it->second, now, effects);
+            applyLimits(id, it->second, now, effects);
     }
 }
 
 void Reducer::admit(RequestId id, Request& request, TimePoint now, Effects& effects)
 {
     auto& resolved = request.resolved;
-    carryOut(m_admission.onArrive(id, *resolved.service, *resolved.organisation, request.cost, resolved.deadline, now, m_generator), now, effects);
+    applyDecisions(m_admission.onArrive(id, *resolved.service, *resolved.organisation, request.cost, resolved.deadline, now, m_generator), now, effects);
 }
 
-void Reducer::carryOut(const Admission::Decisions& decisions, TimePoint now, Effects& effects)
+void Reducer::applyDecisions(const AdmissionController::Decisions& decisions, TimePoint now, Effects& effects)
 {
     for (auto& decision : decisions) {
         auto it = m_requests.find(decision.id);
@@ -132,44 +132,44 @@
         Refusal refusal;
         refusal.reason = RefusalReason::Overloaded;
         refusal.retryAfter = decision.retryAfter;
-        giveUp(decision.id, it->second, std::move(refusal), now, effects);
+        failRequest(decision.id, it->second, std::move(refusal), now, effects);
     }
 }
 
 void Reducer::refuseArrival(const RequestArrived& event, Refusal refusal, Effects& effects) const
 {
     refusal.verdict = event.info->clientKey ? Verdict::MayHaveRun : Verdict::NotRun;
-    effects.push_back(RecordAnswer { event.info->service, event.info->organisation, refusal.verdict, refusal.reason });
-    effects.push_back(Refuse { event.worker, event.id, std::move(refusal) });
+    effects.push_back(RecordCompletion { event.info->service, event.info->organisation, refusal.verdict, refusal.reason });
+    effects.push_back(RefuseRequest { event.worker, event.id, std::move(refusal) });
 }
 
 policy::RouteRequest Reducer::routeRequest(const Request& request) const
 {
-    return { request.info->prefix, request.info->promptTokens, request.info->expectedOutput, request.resolved.isRepeatable, request.tried };
+    return { request.info->prefix, request.info->promptTokens, request.info->expectedOutput, request.resolved.isRepeatable, request.triedServers };
 }
 
 void Reducer::dispatch(RequestId id, Request& request, TimePoint now, Effects& effects)
 {
-    if (isQuarantined(id, request, now, effects))
+    if (refuseIfQuarantined(id, request, now, effects))
         return;
     if (request.needsClaim())
-        return beginClaim(id, request, now, effects);
+        return startClaim(id, request, now, effects);
     Attempt attempt;
     if (!m_quarantine.empty() && m_quarantine.check(request.resolved.fingerprint, now).action == policy::QuarantineAction::RunAlone) {
-        if (chooseAloneServer(request, attempt))
-            return start(id, request, std::move(attempt), now, effects);
+        if (chooseIsolationServer(request, attempt))
+            return startAttempt(id, request, std::move(attempt), now, effects);
     }
     if (chooseServer(request, now, attempt))
-        return start(id, request, std::move(attempt), now, effects);
-    if (m_fleet.hasReserved(request.resolved.service->name))
-        return waitForReserved(id, now);
+        return startAttempt(id, request, std::move(attempt), now, effects);
+    if (m_serverRegistry.hasReservedServer(request.resolved.service->name))
+        return waitForReservedServer(id, now);
     Refusal refusal;
     refusal.reason = RefusalReason::NoBackendServer;
     refusal.retryAfter = shortRetryAfter;
-    giveUp(id, request, std::move(refusal), now, effects);
+    failRequest(id, request, std::move(refusal), now, effects);
 }
 
-bool Reducer::isQuarantined(RequestId id, Request& request, TimePoint now, Effects& effects)
+bool Reducer::refuseIfQuarantined(RequestId id, Request& request, TimePoint now, Effects& effects)
 {
     if (m_quarantine.empty())
         return false;
@@ -179,75 +179,75 @@
     Refusal refusal;
     refusal.reason = RefusalReason::Quarantined;
     refusal.retryAfter = std::max(shortRetryAfter, std::chrono::ceil<seconds>(decision.until - now));
-    giveUp(id, request, std::move(refusal), now, effects);
+    failRequest(id, request, std::move(refusal), now, effects);
     return true;
 }
 
 // While suspects have the servers to themselves, one after the other, the rest waits its turn, until its deadline at the
 // latest. Taking this from the retry budget, or refusing it, turned a crash with several requests at the engine into
 // refusals of a sixth of all requests.
-void Reducer::waitForReserved(RequestId id, TimePoint now)
+void Reducer::waitForReservedServer(RequestId id, TimePoint now)
 {
-    m_retries.emplace(now + reservedWait, id);
+    m_retries.emplace(now + reservedRetryInterval, id);
 }
 
 // A suspect goes where every entry sends it, alone, so that a second crash hurts nobody beside it.
-bool Reducer::chooseAloneServer(const Request& request, Attempt& attempt) const
+bool Reducer::chooseIsolationServer(const Request& request, Attempt& attempt) const
 {
-    auto server = policy::suspectServer(request.resolved.fingerprint, m_fleet.upServers(request.resolved.service->name));
+    auto server = policy::suspectServer(request.resolved.fingerprint, m_serverRegistry.upServers(request.resolved.service->name));
     if (!server)
         return false;
     attempt.server = *server;
     attempt.isRouted = false;
-    attempt.isAlone = true;
+    attempt.isIsolated = true;
     return true;
 }
 
 bool Reducer::chooseServer(Request& request, TimePoint now, Attempt& attempt)
 {
     auto& service = request.resolved.service->name;
-    auto router = m_fleet.router(service);
+    auto router = m_serverRegistry.router(service);
     if (!router)
         return false;
     auto choice = router->choose(routeRequest(request), now, m_generator);
     if (!choice)
         return false;
     router->onStart(*choice, routeRequest(request), now);
-    request.tried.push_back(choice->server);
+    request.triedServers.push_back(choice->server);
     attempt.server = *router->idOf(choice->server);
     attempt.choice = *choice;
     return true;
 }
 
-void Reducer::start(RequestId id, Request& request, Attempt attempt, TimePoint now, Effects& effects, std::optional<policy::ClaimRequest> claim, bool attachesOnly)
+void Reducer::startAttempt(RequestId id, Request& request, Attempt attempt, TimePoint now, Effects& effects, std::optional<policy::ClaimRequest> claim, bool attachesOnly)
 {
     attempt.serial = AttemptSerial(++m_lastAttempt);
     attempt.startedAt = now;
     ++request.attempts;
-    AttemptOrder order;
-    order.id = id;
-    order.attempt = attempt.serial;
-    order.key = request.key;
-    auto& server = *m_fleet.find(attempt.server);
-    order.ticket = { server.id, *server.incarnation, server.epoch, m_options.incarnation, attempt.serial.value() };
-    order.service = request.resolved.service->name;
-    order.organisation = request.resolved.organisation->name;
-    order.fingerprint = request.resolved.fingerprint;
-    order.priority = static_cast<int>(toPolicy(request.resolved.organisation->priority));
-    order.promptTokens = request.info->promptTokens;
-    order.expectedOutput = request.info->expectedOutput;
-    order.isRepeatable = request.resolved.isRepeatable;
-    order.runsAlone = attempt.isAlone;
-    order.claim = std::move(claim);
-    order.attachesOnly = attachesOnly;
-    order.deadline = request.resolved.deadline;
-    if (attempt.isAlone)
-        m_quarantine.onStartAlone(order.fingerprint);
+    AttemptSpec spec;
+    spec.id = id;
+    spec.attempt = attempt.serial;
+    spec.key = request.key;
+    auto& server = *m_serverRegistry.find(attempt.server);
+    spec.ticket = { server.id, *server.incarnation, server.epoch, m_options.incarnation, attempt.serial.value() };
+    spec.service = request.resolved.service->name;
+    spec.organisation = request.resolved.organisation->name;
+    spec.fingerprint = request.resolved.fingerprint;
+    spec.priority = static_cast<int>(toPolicy(request.resolved.organisation->priority));
+    spec.promptTokens = request.info->promptTokens;
+    spec.expectedOutput = request.info->expectedOutput;
+    spec.isRepeatable = request.resolved.isRepeatable;
+    spec.runsAlone = attempt.isIsolated;
+    spec.claim = std::move(claim);
+    spec.attachesOnly = attachesOnly;
+    spec.deadline = request.resolved.deadline;
+    if (attempt.isIsolated)
+        m_quarantine.onStartAlone(spec.fingerprint);
     request.attempt = std::move(attempt);
-    effects.push_back(StartAttempt { request.worker, std::move(order) });
+    effects.push_back(StartAttempt { request.worker, std::move(spec) });
 }
 
-void Reducer::giveUp(RequestId id, Request& request, Refusal refusal, TimePoint now, Effects& effects)
+void Reducer::failRequest(RequestId id, Request& request, Refusal refusal, TimePoint now, Effects& effects)
 {
     refusal.verdict = request.verdict;
     if (request.attempt) {
@@ -256,38 +256,38 @@
         effects.push_back(CancelAttempt { request.worker, id, request.attempt->server });
         releaseAttempt(request, policy::FailureKind::TimedOut, now);
     }
-    recordAnswer(request, refusal.reason, now, effects);
+    recordCompletion(request, refusal.reason, now, effects);
     if (request.firstByteAt)
-        effects.push_back(CutAnswer { request.worker, id, std::move(refusal) });
+        effects.push_back(AbortResponse { request.worker, id, std::move(refusal) });
     else
-        effects.push_back(Refuse { request.worker, id, std::move(refusal) });
-    remove(id, now, effects);
+        effects.push_back(RefuseRequest { request.worker, id, std::move(refusal) });
+    removeRequest(id, now, effects);
 }
 
-void Reducer::recordAnswer(const Request& request, std::optional<RefusalReason> refusal, TimePoint now, Effects& effects) const
+void Reducer::recordCompletion(const Request& request, std::optional<RefusalReason> refusal, TimePoint now, Effects& effects) const
 {
-    RecordAnswer record { request.resolved.service->name, request.resolved.organisation->name, request.verdict, refusal };
-    record.total = std::chrono::duration_cast<microseconds>(now - request.arrivedAt);
-    record.firstByte = std::chrono::duration_cast<microseconds>(request.firstByteAt.value_or(now) - request.arrivedAt);
-    record.attempts = request.attempts;
+    RecordCompletion completion { request.resolved.service->name, request.resolved.organisation->name, request.verdict, refusal };
+    completion.total = std::chrono::duration_cast<microseconds>(now - request.arrivedAt);
+    completion.firstByte = std::chrono::duration_cast<microseconds>(request.firstByteAt.value_or(now) - request.arrivedAt);
+    completion.attempts = request.attempts;
     auto& objective = request.resolved.service->objective;
-    auto isInTime = request.resolved.service->kind == settings::ServiceKind::Model ? record.firstByte <= objective.firstToken : record.total <= objective.answer;
-    record.isGood = !refusal && isInTime;
-    effects.push_back(std::move(record));
+    auto isInTime = request.resolved.service->kind == settings::ServiceKind::Model ? completion.firstByte <= objective.firstToken : completion.total <= objective.answer;
+    completion.isWithinObjective = !refusal && isInTime;
+    effects.push_back(std::move(completion));
 }
 
-void Reducer::remove(RequestId id, TimePoint now, Effects& effects)
+void Reducer::removeRequest(RequestId id, TimePoint now, Effects& effects)
 {
     auto it = m_requests.find(id);
     auto request = std::move(it->second);
     m_deadlines.erase({ request.resolved.deadline, id });
     m_requests.erase(it);
     auto& service = request.resolved.service->name;
-    if (request.isLimited)
-        m_limits.finish(*request.resolved.organisation, request.cost, request.verdict, now);
+    if (request.isCountedInLimits)
+        m_limiter.release(*request.resolved.organisation, request.cost, request.verdict, now);
     if (!request.isAdmitted)
         return m_admission.onAbandon(service, id);
-    carryOut(m_admission.onFinish(service, request.cost, now, m_generator), now, effects);
+    applyDecisions(m_admission.onFinish(service, request.cost, now, m_generator), now, effects);
 }
 
 void Reducer::publishSuspicions(bool isUrgent, TimePoint now, Effects& effects)
@@ -297,7 +297,7 @@
     effects.push_back(PublishSuspicions { std::move(suspicions), isUrgent });
 }
 
-void Reducer::on(const ClientGone& event, Effects& effects)
+void Reducer::on(const ClientDisconnected& event, Effects& effects)
 {
     auto it = m_requests.find(event.id);
     if (it == m_requests.end())
@@ -307,50 +307,50 @@
         effects.push_back(CancelAttempt { request.worker, event.id, request.attempt->server });
         releaseAttempt(request, std::nullopt, event.now);
     }
-    remove(event.id, event.now, effects);
+    removeRequest(event.id, event.now, effects);
 }
 
 void Reducer::on(const LinkReported& event, Effects& effects)
 {
-    m_fleet.onReport(event);
-    auto isNews = false;
+    m_serverRegistry.onReport(event);
+    auto hasChanged = false;
     for (auto& message : event.report.suspicions)
-        isNews = m_quarantine.onMessage(message, event.now) || isNews;
-    if (isNews)
+        hasChanged = m_quarantine.onMessage(message, event.now) || hasChanged;
+    if (hasChanged)
         publishSuspicions(true, event.now, effects);
 }
 
 void Reducer::on(const LinkDown& event, Effects&)
 {
-    m_fleet.onLinkDown(event);
+    m_serverRegistry.onLinkDown(event);
 }
 
 void Reducer::on(const ViewChanged& event, Effects& effects)
 {
-    m_fleet.onView(*event.view, event.now, effects);
-    m_limits.onView(*event.view, event.now);
+    m_serverRegistry.onView(*event.view, event.now, effects);
+    m_limiter.onView(*event.view, event.now);
 }
 
-void Reducer::on(const LoanArrived& event, Effects& effects)
+void Reducer::on(const LendingMessageReceived& event, Effects& effects)
 {
-    auto request = std::get_if<policy::LendRequest>(&event.loan);
-    auto traffic = request && m_resolver ? Limits::trafficOf(request->organisation) : std::nullopt;
+    auto request = std::get_if<policy::LendRequest>(&event.message);
+    auto traffic = request && m_resolver ? RequestLimiter::trafficKeyOf(request->organisation) : std::nullopt;
     auto organisation = traffic ? m_resolver->organisation(*traffic) : nullptr;
     if (organisation)
-        m_limits.prepare(organisation, event.now);
-    m_limits.onLoan(event.loan, event.now, effects);
-    limitWaiting(event.now, effects);
+        m_limiter.ensureLimit(organisation, event.now);
+    m_limiter.onLendingMessage(event.message, event.now, effects);
+    retryWaitingForGrant(event.now, effects);
 }
 
-void Reducer::on(const SettingsInForce& event, Effects&)
+void Reducer::on(const SettingsActivated& event, Effects&)
 {
     if (m_revision && event.revision <= *m_revision)
         return;
     m_revision = event.revision;
     m_resolver.emplace(event.tree);
-    m_fleet.setTopology(m_resolver->topology());
+    m_serverRegistry.setTopology(m_resolver->topology());
     for (auto& name : m_resolver->services())
-        m_retryDesk.setOptions(*m_resolver->service(name));
+        m_retryController.setOptions(*m_resolver->service(name));
 }
 
 void Reducer::on(const LeaveRequested& event, Effects& effects)
@@ -360,18 +360,18 @@
     // Clients may hold an address answer that names this entry, given a moment ago by a peer that had not yet heard:
     // closing sooner would refuse them.
     membership::AddressAnswerOptions answers;
-    answers.keepFor = std::chrono::duration_cast<milliseconds>(m_resolver ? m_resolver->longestKeepTime() : microseconds { 0 });
+    answers.keepFor = std::chrono::duration_cast<milliseconds>(m_resolver ? m_resolver->maxKeepTime() : microseconds { 0 });
     m_acceptUntil = membership::acceptUntil(event.now, answers);
     effects.push_back(AnnounceLeaving {});
-    leaveWhenDone(event.now, effects);
+    advanceLeaving(event.now, effects);
 }
 
 void Reducer::on(const Tick& event, Effects& effects)
 {
     startDueRetries(event.now, effects);
     if (!m_awaitingGrant.empty() && m_awaitingGrant.begin()->first <= event.now)
-        limitWaiting(event.now, effects);
-    carryOut(m_admission.onTimer(event.now, m_generator), event.now, effects);
+        retryWaitingForGrant(event.now, effects);
+    applyDecisions(m_admission.onTimer(event.now, m_generator), event.now, effects);
     if (m_nextHousekeeping <= event.now) {
         m_nextHousekeeping = event.now + housekeepingInterval;
         m_quarantine.tick(event.now);
@@ -379,8 +379,8 @@
             publishSuspicions(false, event.now, effects);
         updateCapacities(event.now, effects);
     }
-    endPassedDeadlines(event.now, effects);
-    leaveWhenDone(event.now, effects);
+    failExpiredRequests(event.now, effects);
+    advanceLeaving(event.now, effects);
 }
 
 void Reducer::updateCapacities(TimePoint now, Effects& effects)
@@ -389,7 +389,7 @@
         return;
     for (auto& name : m_resolver->services()) {
         auto service = m_resolver->service(name);
-        carryOut(m_admission.setCapacity(*service, m_fleet.capacityOf(name), now, m_generator), now, effects);
+        applyDecisions(m_admission.setCapacity(*service, m_serverRegistry.capacityOf(name), now, m_generator), now, effects);
     }
 }
 
@@ -404,17 +404,17 @@
     }
 }
 
-void Reducer::endPassedDeadlines(TimePoint now, Effects& effects)
+void Reducer::failExpiredRequests(TimePoint now, Effects& effects)
 {
     while (!m_deadlines.empty() && m_deadlines.begin()->first <= now) {
         auto id = m_deadlines.begin()->second;
         Refusal refusal;
         refusal.reason = RefusalReason::DeadlinePassed;
-        giveUp(id, m_requests.at(id), std::move(refusal), now, effects);
+        failRequest(id, m_requests.at(id), std::move(refusal), now, effects);
     }
 }
 
-void Reducer::leaveWhenDone(TimePoint now, Effects& effects)
+void Reducer::advanceLeaving(TimePoint now, Effects& effects)
 {
     if (!m_acceptUntil || now < *m_acceptUntil)
         return;
--- a/src/entry/reducer.h
+++ b/src/entry/reducer.h
@@ -1,11 +1,11 @@
 #pragma once
 
-#include "src/entry/admission.h"
+#include "src/entry/admission-controller.h"
+#include "src/entry/backend-server-registry.h"
 #include "src/entry/events.h"
-#include "src/entry/fleet.h"
-#include "src/entry/limits.h"
+#include "src/entry/request-limiter.h"
 #include "src/entry/request-resolver.h"
-#include "src/entry/retry-desk.h"
+#include "src/entry/retry-controller.h"
 
 #include <swiftloft/policy/claim-protocol.h>
 #include <swiftloft/policy/crash-quarantine.h>
@@ -42,9 +42,9 @@
 
     bool isReady() const { return m_resolver.has_value(); }
     bool isLeaving() const { return m_acceptUntil.has_value(); }
-    std::size_t inProgress() const { return m_requests.size(); }
+    std::size_t requestsInProgress() const { return m_requests.size(); }
     std::optional<Revision> settingsRevision() const { return m_revision; }
-    const Fleet& fleet() const { return m_fleet; }
+    const BackendServerRegistry& serverRegistry() const { return m_serverRegistry; }
     /// Null when the settings name no such service.
     std::shared_ptr<const settings::ServiceSettings> service(const ServiceName& name);
 
@@ -56,7 +56,7 @@
         policy::RouteChoice choice;
         /// False for a try whose server was not the router's to choose: a key's home, or a suspect's place.
         bool isRouted { true };
-        bool isAlone { false };
+        bool isIsolated { false };
         TimePoint startedAt;
     };
 
@@ -73,10 +73,10 @@
         /// Out of the queue and in the room that admission counts.
         bool isAdmitted { false };
         /// Counted against its organisation's limits.
-        bool isLimited { false };
+        bool isCountedInLimits { false };
         Tokens cost;
         std::optional<Attempt> attempt;
-        std::vector<policy::ServerHandle> tried;
+        std::vector<policy::ServerHandle> triedServers;
         /// Set while, and after, the homes of a client's own key are asked for it.
         std::optional<policy::ClaimProtocol> claim;
 
@@ -89,50 +89,50 @@
     void on(const RequestArrived& event, Effects& effects);
     void on(const OutputBegan& event, Effects& effects);
     void on(const AttemptEnded& event, Effects& effects);
-    void on(const ClaimAnswered& event, Effects& effects);
-    void on(const ClientGone& event, Effects& effects);
+    void on(const ClaimCompleted& event, Effects& effects);
+    void on(const ClientDisconnected& event, Effects& effects);
     void on(const LinkReported& event, Effects& effects);
     void on(const LinkDown& event, Effects& effects);
     void on(const ViewChanged& event, Effects& effects);
-    void on(const LoanArrived& event, Effects& effects);
-    void on(const SettingsInForce& event, Effects& effects);
+    void on(const LendingMessageReceived& event, Effects& effects);
+    void on(const SettingsActivated& event, Effects& effects);
     void on(const LeaveRequested& event, Effects& effects);
     void on(const Tick& event, Effects& effects);
 
-    void limit(RequestId id, Request& request, TimePoint now, Effects& effects);
-    void limitWaiting(TimePoint now, Effects& effects);
+    void applyLimits(RequestId id, Request& request, TimePoint now, Effects& effects);
+    void retryWaitingForGrant(TimePoint now, Effects& effects);
     void admit(RequestId id, Request& request, TimePoint now, Effects& effects);
-    void carryOut(const Admission::Decisions& decisions, TimePoint now, Effects& effects);
+    void applyDecisions(const AdmissionController::Decisions& decisions, TimePoint now, Effects& effects);
     void updateCapacities(TimePoint now, Effects& effects);
     void dispatch(RequestId id, Request& request, TimePoint now, Effects& effects);
-    bool isQuarantined(RequestId id, Request& request, TimePoint now, Effects& effects);
-    void waitForReserved(RequestId id, TimePoint now);
-    bool chooseAloneServer(const Request& request, Attempt& attempt) const;
+    bool refuseIfQuarantined(RequestId id, Request& request, TimePoint now, Effects& effects);
+    void waitForReservedServer(RequestId id, TimePoint now);
+    bool chooseIsolationServer(const Request& request, Attempt& attempt) const;
     void publishSuspicions(bool isUrgent, TimePoint now, Effects& effects);
     bool chooseServer(Request& request, TimePoint now, Attempt& attempt);
-    void beginClaim(RequestId id, Request& request, TimePoint now, Effects& effects);
-    void carryOut(RequestId id, Request& request, const policy::ClaimEffects& claimEffects, TimePoint now, Effects& effects);
-    void startClaimed(RequestId id, Request& request, const policy::ClaimEffect& effect, TimePoint now, Effects& effects);
-    void start(RequestId id, Request& request, Attempt attempt, TimePoint now, Effects& effects, std::optional<policy::ClaimRequest> claim = {}, bool attachesOnly = false);
+    void startClaim(RequestId id, Request& request, TimePoint now, Effects& effects);
+    void applyClaimEffects(RequestId id, Request& request, const policy::ClaimEffects& claimEffects, TimePoint now, Effects& effects);
+    void startClaimedAttempt(RequestId id, Request& request, const policy::ClaimEffect& effect, TimePoint now, Effects& effects);
+    void startAttempt(RequestId id, Request& request, Attempt attempt, TimePoint now, Effects& effects, std::optional<policy::ClaimRequest> claim = {}, bool attachesOnly = false);
     void releaseAttempt(Request& request, std::optional<policy::FailureKind> failure, TimePoint now);
-    void retryOrAnswer(RequestId id, Request& request, const AttemptEnded& event, Effects& effects);
-    void giveUp(RequestId id, Request& request, Refusal refusal, TimePoint now, Effects& effects);
-    void recordAnswer(const Request& request, std::optional<RefusalReason> refusal, TimePoint now, Effects& effects) const;
-    void remove(RequestId id, TimePoint now, Effects& effects);
+    void retryOrFail(RequestId id, Request& request, const AttemptEnded& event, Effects& effects);
+    void failRequest(RequestId id, Request& request, Refusal refusal, TimePoint now, Effects& effects);
+    void recordCompletion(const Request& request, std::optional<RefusalReason> refusal, TimePoint now, Effects& effects) const;
+    void removeRequest(RequestId id, TimePoint now, Effects& effects);
     void refuseArrival(const RequestArrived& event, Refusal refusal, Effects& effects) const;
-    void endPassedDeadlines(TimePoint now, Effects& effects);
+    void failExpiredRequests(TimePoint now, Effects& effects);
     void startDueRetries(TimePoint now, Effects& effects);
-    void leaveWhenDone(TimePoint now, Effects& effects);
+    void advanceLeaving(TimePoint now, Effects& effects);
     policy::RouteRequest routeRequest(const Request& request) const;
 
     ReducerOptions m_options;
-    RetryDesk m_retryDesk;
+    RetryController m_retryController;
     policy::Generator m_generator;
-    Fleet m_fleet;
-    Limits m_limits;
+    BackendServerRegistry m_serverRegistry;
+    RequestLimiter m_limiter;
     /// Requests over this entry's share that wait a moment for a peer's grant, by when they are refused.
     std::set<std::pair<TimePoint, RequestId>> m_awaitingGrant;
-    Admission m_admission;
+    AdmissionController m_admission;
     policy::CrashQuarantine m_quarantine;
     std::optional<RequestResolver> m_resolver;
     std::optional<Revision> m_revision;
--- a/src/entry/limits.cc
+++ b/src/entry/request-limiter.cc
@@ -1,4 +1,4 @@
-#include "src/entry/limits.h"
+#include "src/entry/request-limiter.h"
 
 #include <algorithm>
 
@@ -7,7 +7,7 @@
 namespace {
 
 /// Names have no blanks, so this stands in none.
-constexpr std::string_view separator = " at ";
+constexpr std::string_view limitNameSeparator = " at ";
 
 policy::OrganisationLimit toPolicy(const settings::OrganisationSettings& settings)
 {
@@ -30,7 +30,7 @@
 
 } // namespace
 
-Limits::Limits(InstanceId self, Incarnation incarnation, bool isFirstStart, TimePoint now)
+RequestLimiter::RequestLimiter(InstanceId self, Incarnation incarnation, bool isFirstStart, TimePoint now)
     : m_self(std::move(self))
     , m_isFirstStart(isFirstStart)
     // On the first start of a fleet no entry can hold a share from before, so this one begins as if it had watched the
@@ -39,29 +39,29 @@
 {
 }
 
-std::optional<policy::TrafficKey> Limits::trafficOf(const OrganisationName& limitName)
+std::optional<policy::TrafficKey> RequestLimiter::trafficKeyOf(const OrganisationName& limitName)
 {
     auto& text = limitName.value();
-    auto at = text.find(separator);
+    auto at = text.find(limitNameSeparator);
     if (at == std::string::npos)
         return std::nullopt;
-    return policy::TrafficKey { ServiceName(text.substr(at + separator.size())), OrganisationName(text.substr(0, at)) };
+    return policy::TrafficKey { ServiceName(text.substr(at + limitNameSeparator.size())), OrganisationName(text.substr(0, at)) };
 }
 
-void Limits::prepare(const std::shared_ptr<const settings::OrganisationSettings>& settings, TimePoint now)
+void RequestLimiter::ensureLimit(const std::shared_ptr<const settings::OrganisationSettings>& settings, TimePoint now)
 {
-    known(settings, now);
+    limitState(settings, now);
 }
 
-OrganisationName Limits::limitName(const settings::OrganisationSettings& settings)
+OrganisationName RequestLimiter::limitName(const settings::OrganisationSettings& settings)
 {
-    return OrganisationName(settings.name.value() + std::string(separator) + settings.service.value());
+    return OrganisationName(settings.name.value() + std::string(limitNameSeparator) + settings.service.value());
 }
 
-Limits::Known& Limits::known(const std::shared_ptr<const settings::OrganisationSettings>& settings, TimePoint now)
+RequestLimiter::LimitState& RequestLimiter::limitState(const std::shared_ptr<const settings::OrganisationSettings>& settings, TimePoint now)
 {
     auto name = limitName(*settings);
-    auto [it, isNew] = m_known.try_emplace(name);
+    auto [it, isNew] = m_limitStates.try_emplace(name);
     if (it->second.settings != settings) {
         it->second.settings = settings;
         m_limits.setLimit(name, toPolicy(*settings), now, isNew);
@@ -69,33 +69,33 @@
     return it->second;
 }
 
-Limits::Decision Limits::admit(const std::shared_ptr<const settings::OrganisationSettings>& settings, Tokens estimate, TimePoint now, Effects& effects)
+RequestLimiter::Decision RequestLimiter::admit(const std::shared_ptr<const settings::OrganisationSettings>& settings, Tokens estimate, TimePoint now, Effects& effects)
 {
-    auto& known = this->known(settings, now);
+    auto& state = this->limitState(settings, now);
     // Each entry allows its part; at least one, so that a small limit can be used at all.
     auto inFlightLimit = std::max<std::int64_t>(1, settings->maxInFlight / static_cast<std::int64_t>(m_entries));
-    if (known.inFlight >= inFlightLimit)
+    if (state.inFlight >= inFlightLimit)
         return { RefusalReason::InFlightLimit, now + seconds(1), false };
     policy::LimitEffects lending;
     auto decision = m_limits.admit(limitName(*settings), estimate, now, lending);
-    send(lending, effects);
+    sendLendingMessages(lending, effects);
     if (decision.outcome != policy::LimitOutcome::Admitted)
         return { toReason(decision.outcome), decision.retryAt, decision.isBorrowing };
-    ++known.inFlight;
+    ++state.inFlight;
     return {};
 }
 
-void Limits::finish(const settings::OrganisationSettings& settings, Tokens estimate, Verdict verdict, TimePoint now)
+void RequestLimiter::release(const settings::OrganisationSettings& settings, Tokens estimate, Verdict verdict, TimePoint now)
 {
-    auto it = m_known.find(limitName(settings));
-    if (it == m_known.end())
+    auto it = m_limitStates.find(limitName(settings));
+    if (it == m_limitStates.end())
         return;
     --it->second.inFlight;
     if (verdict == Verdict::NotRun)
         m_limits.settle(it->first, estimate, Tokens(0), now);
 }
 
-void Limits::onView(const membership::View& view, TimePoint now)
+void RequestLimiter::onView(const membership::View& view, TimePoint now)
 {
     // A view from before the first list names nobody. Taken for a list, it would say that this entry has been dropped.
     if (view.listRevision == Revision(0))
@@ -112,19 +112,19 @@
     m_limits.onList(entries, now);
 }
 
-void Limits::onLoan(const Loan& loan, TimePoint now, Effects& effects)
+void RequestLimiter::onLendingMessage(const LendingMessage& message, TimePoint now, Effects& effects)
 {
-    if (auto request = std::get_if<policy::LendRequest>(&loan))
-        send(m_limits.onLendRequest(*request, now), effects);
+    if (auto request = std::get_if<policy::LendRequest>(&message))
+        sendLendingMessages(m_limits.onLendRequest(*request, now), effects);
     else
-        m_limits.onLendGrant(std::get<policy::LendGrant>(loan), now);
+        m_limits.onLendGrant(std::get<policy::LendGrant>(message), now);
 }
 
-void Limits::send(const policy::LimitEffects& from, Effects& effects)
+void RequestLimiter::sendLendingMessages(const policy::LimitEffects& from, Effects& effects)
 {
     for (auto& it : from) {
-        auto loan = it.kind == policy::LimitEffectKind::SendLendRequest ? Loan(it.request) : Loan(it.grant);
-        effects.push_back(SendLoan { it.to, std::move(loan) });
+        auto message = it.kind == policy::LimitEffectKind::SendLendRequest ? LendingMessage(it.request) : LendingMessage(it.grant);
+        effects.push_back(SendLendingMessage { it.to, std::move(message) });
     }
 }
 
--- a/src/entry/request-reader.cc
+++ b/src/entry/request-reader.cc
@@ -19,22 +19,22 @@
 
 namespace {
 
-constexpr std::size_t longestKey = 200;
-constexpr std::size_t longestName = 128;
-constexpr std::int64_t longestDeadlineMs = 24LL * 3600 * 1000;
+constexpr std::size_t maxKeyLength = 200;
+constexpr std::size_t maxNameLength = 128;
+constexpr std::int64_t maxDeadlineMs = 24LL * 3600 * 1000;
 constexpr std::int64_t bytesPerToken = 4;
 constexpr std::int64_t defaultMaxTokens = 256;
-constexpr std::int64_t mostMaxTokens = 1'000'000;
-constexpr std::size_t deepestJson = 32;
+constexpr std::int64_t maxTokenLimit = 1'000'000;
+constexpr std::size_t maxJsonDepth = 32;
 
-std::string_view toStd(boost::beast::string_view text)
+std::string_view toStringView(boost::beast::string_view text)
 {
     return { text.data(), text.size() };
 }
 
 Error malformed(std::string_view where, std::string_view found, std::string_view expected)
 {
-    return { ErrorCode::MalformedInput, fmt::format("{} is '{}'; expected {}", where, found.substr(0, longestKey), expected) };
+    return { ErrorCode::MalformedInput, fmt::format("{} is '{}'; expected {}", where, found.substr(0, maxKeyLength), expected) };
 }
 
 bool isVisibleText(std::string_view text)
@@ -92,7 +92,7 @@
     std::string_view header(const char* name) const
     {
         auto it = m_message.find(name);
-        return it == m_message.end() ? std::string_view() : toStd(it->value());
+        return it == m_message.end() ? std::string_view() : toStringView(it->value());
     }
 
     void fail(std::string_view where, std::string_view found, std::string_view expected)
@@ -104,7 +104,7 @@
     std::string name(const char* headerName)
     {
         auto text = header(headerName);
-        if (text.size() > longestName || !isVisibleText(text))
+        if (text.size() > maxNameLength || !isVisibleText(text))
             fail(headerName, text, "a name of at most 128 visible characters");
         return std::string(text);
     }
@@ -121,7 +121,7 @@
         if (m_message.find("Idempotency-Key") == m_message.end())
             return;
         auto text = header("Idempotency-Key");
-        if (text.empty() || text.size() > longestKey || !isVisibleText(text))
+        if (text.empty() || text.size() > maxKeyLength || !isVisibleText(text))
             return fail("Idempotency-Key", text, "1 to 200 visible characters");
         m_info->clientKey = RequestKey(std::string(text));
     }
@@ -132,7 +132,7 @@
         if (text.empty())
             return;
         auto n = toNumber(text);
-        if (!n || *n < 1 || *n > longestDeadlineMs)
+        if (!n || *n < 1 || *n > maxDeadlineMs)
             return fail("Swiftloft-Deadline-Ms", text, "milliseconds from now, 1 to 86400000");
         m_info->deadline = m_now + milliseconds(*n);
     }
@@ -157,14 +157,14 @@
 
     void readTarget()
     {
-        auto target = toStd(m_message.target());
+        auto target = toStringView(m_message.target());
         if (target.empty() || target[0] != '/')
             fail("the request target", target, "a path that begins with '/'");
     }
 
     bool isModelRequest() const
     {
-        auto target = toStd(m_message.target());
+        auto target = toStringView(m_message.target());
         auto path = target.substr(0, target.find('?'));
         return m_message.method() == http::verb::post && (path == "/v1/completions" || path == "/v1/chat/completions");
     }
@@ -172,7 +172,7 @@
     void readModelBody(const std::string& body)
     {
         json::parse_options options;
-        options.max_depth = deepestJson;
+        options.max_depth = maxJsonDepth;
         json::error_code ec;
         auto value = json::parse(json::string_view(body.data(), body.size()), ec, {}, options);
         auto object = ec ? nullptr : value.if_object();
@@ -191,7 +191,7 @@
         auto model = object.if_contains("model");
         if (!model || !m_info->service.value().empty())
             return;
-        if (!model->is_string() || model->get_string().size() > longestName)
+        if (!model->is_string() || model->get_string().size() > maxNameLength)
             return fail("\"model\"", json::serialize(*model), "a string of at most 128 characters");
         m_info->service = ServiceName(std::string(model->get_string()));
     }
@@ -202,7 +202,7 @@
         auto limit = object.if_contains("max_tokens");
         if (!limit || limit->is_null())
             return;
-        if (!limit->is_int64() || limit->get_int64() < 1 || limit->get_int64() > mostMaxTokens)
+        if (!limit->is_int64() || limit->get_int64() < 1 || limit->get_int64() > maxTokenLimit)
             return fail("\"max_tokens\"", json::serialize(*limit), "a whole number from 1 to 1000000");
         m_info->expectedOutput = Tokens(limit->get_int64());
     }
--- a/src/entry/request-resolver.cc
+++ b/src/entry/request-resolver.cc
@@ -84,7 +84,7 @@
     return topology;
 }
 
-microseconds RequestResolver::longestKeepTime() const
+microseconds RequestResolver::maxKeepTime() const
 {
     microseconds longest { 0 };
     for (auto& name : m_tree.services())
--- a/src/entry/request-resolver.h
+++ b/src/entry/request-resolver.h
@@ -44,7 +44,7 @@
     std::shared_ptr<const settings::ServiceSettings> service(const ServiceName& name);
 
     /// The longest time that clients keep an address answer of any service.
-    microseconds longestKeepTime() const;
+    microseconds maxKeepTime() const;
 
     /// Null when the settings name no such organisation or service.
     std::shared_ptr<const settings::OrganisationSettings> organisation(const policy::TrafficKey& key);
--- a/src/entry/answer-writer.cc
+++ b/src/entry/response-writer.cc
@@ -1,4 +1,4 @@
-#include "src/entry/answer-writer.h"
+#include "src/entry/response-writer.h"
 
 #include <boost/asio/buffers_iterator.hpp>
 #include <boost/beast/http.hpp>
@@ -12,7 +12,7 @@
 
 constexpr unsigned httpVersion11 = 11;
 
-std::string_view toStd(boost::beast::string_view text)
+std::string_view toStringView(boost::beast::string_view text)
 {
     return { text.data(), text.size() };
 }
@@ -43,27 +43,27 @@
 
 } // namespace
 
-AnswerWriter::AnswerWriter(Options options)
+ResponseWriter::ResponseWriter(Options options)
     : m_options(std::move(options))
-    , m_keepsAlive(m_options.keepsAlive && !m_options.asksAgain)
+    , m_keepsAlive(m_options.keepsAlive && !m_options.isEntryLeaving)
 {
 }
 
-void AnswerWriter::add(const Piece& piece, std::string& out)
+void ResponseWriter::add(const ResponsePart& part, std::string& out)
 {
-    if (auto head = std::get_if<AnswerHead>(&piece))
+    if (auto head = std::get_if<ResponseHead>(&part))
         addHead(*head, out);
-    else if (auto data = std::get_if<AnswerData>(&piece))
+    else if (auto data = std::get_if<ResponseData>(&part))
         addData(data->bytes, out);
-    else if (std::holds_alternative<AnswerEnd>(piece))
+    else if (std::holds_alternative<ResponseEnd>(part))
         addEnd(out);
-    else if (auto cut = std::get_if<AnswerCut>(&piece))
-        addCut(*cut, out);
+    else if (auto abort = std::get_if<ResponseAbort>(&part))
+        addAbort(*abort, out);
     else
-        addOwn(std::get<OwnAnswer>(piece), out);
+        addLocalResponse(std::get<LocalResponse>(part), out);
 }
 
-void AnswerWriter::addHead(const AnswerHead& head, std::string& out)
+void ResponseWriter::addHead(const ResponseHead& head, std::string& out)
 {
     http::response<http::empty_body> response(static_cast<http::status>(head.status), m_options.httpVersion);
     for (auto& field : head.fields)
@@ -72,9 +72,9 @@
     response.set("Swiftloft-Verdict", std::string(toString(Verdict::Ran)));
     response.set("Swiftloft-Backend-Server", head.server.value());
     response.set("Swiftloft-Entry", m_options.entry);
-    if (m_options.asksAgain)
+    if (m_options.isEntryLeaving)
         response.set("Swiftloft-Ask-Again", "yes");
-    m_isEventStream = toStd(response[http::field::content_type]).starts_with("text/event-stream");
+    m_isEventStream = toStringView(response[http::field::content_type]).starts_with("text/event-stream");
     auto hasLength = response.find(http::field::content_length) != response.end();
     m_isChunked = !hasLength && m_options.httpVersion >= httpVersion11;
     if (m_isChunked)
@@ -85,7 +85,7 @@
     appendHeader(response, out);
 }
 
-void AnswerWriter::addData(std::string_view bytes, std::string& out) const
+void ResponseWriter::addData(std::string_view bytes, std::string& out) const
 {
     if (m_options.isHeadRequest || bytes.empty())
         return;
@@ -95,7 +95,7 @@
         out.append(bytes);
 }
 
-void AnswerWriter::addEnd(std::string& out)
+void ResponseWriter::addEnd(std::string& out)
 {
     addLastEvent(R"({"verdict":"ran"})", "", out);
     if (m_isChunked && !m_options.isHeadRequest)
@@ -103,15 +103,15 @@
     m_isDone = true;
 }
 
-void AnswerWriter::addCut(const AnswerCut& cut, std::string& out)
+void ResponseWriter::addAbort(const ResponseAbort& abort, std::string& out)
 {
     // An answer may have been cut inside an event; the empty line ends that one first.
-    addLastEvent(toJson(cut.refusal), "\n\n", out);
+    addLastEvent(toJson(abort.refusal), "\n\n", out);
     m_keepsAlive = false;
     m_isDone = true;
 }
 
-void AnswerWriter::addLastEvent(std::string_view json, std::string_view before, std::string& out) const
+void ResponseWriter::addLastEvent(std::string_view json, std::string_view before, std::string& out) const
 {
     if (!m_isEventStream || !m_isChunked)
         return;
@@ -120,20 +120,20 @@
     addData(fmt::format("{}event: swiftloft\ndata: {}\n\n", before, json), out);
 }
 
-void AnswerWriter::addOwn(const OwnAnswer& answer, std::string& out)
+void ResponseWriter::addLocalResponse(const LocalResponse& local, std::string& out)
 {
-    http::response<http::empty_body> response(static_cast<http::status>(answer.status), m_options.httpVersion);
-    for (auto& field : answer.fields)
+    http::response<http::empty_body> response(static_cast<http::status>(local.status), m_options.httpVersion);
+    for (auto& field : local.fields)
         response.insert(field.name(), field.name_string(), field.value());
     response.set("Swiftloft-Request-Id", m_options.requestId);
     response.set("Swiftloft-Entry", m_options.entry);
-    if (m_options.asksAgain)
+    if (m_options.isEntryLeaving)
         response.set("Swiftloft-Ask-Again", "yes");
-    response.content_length(answer.body.size());
+    response.content_length(local.body.size());
     response.keep_alive(m_keepsAlive);
     appendHeader(response, out);
     if (!m_options.isHeadRequest)
-        out.append(answer.body);
+        out.append(local.body);
     m_isDone = true;
 }
 
--- a/src/entry/answer-writer.h
+++ b/src/entry/response-writer.h
@@ -10,22 +10,22 @@
 ///
 /// An answer of unknown length goes out in chunks, and the last chunk only with its end mark, so that a cut answer can't
 /// be taken for whole. An event stream carries the verdict in its last event.
-class AnswerWriter {
+class ResponseWriter {
 public:
     struct Options {
         unsigned httpVersion { 11 };
         bool isHeadRequest { false };
         bool keepsAlive { true };
         /// The entry is leaving: the client should ask for addresses again.
-        bool asksAgain { false };
+        bool isEntryLeaving { false };
         std::string requestId;
         std::string entry;
     };
 
-    explicit AnswerWriter(Options options);
+    explicit ResponseWriter(Options options);
 
     /// Appends the bytes of `piece` to `out`.
-    void add(const Piece& piece, std::string& out);
+    void add(const ResponsePart& part, std::string& out);
 
     /// True when the answer is complete or cut: nothing more will be written.
     bool isDone() const { return m_isDone; }
@@ -33,11 +33,11 @@
     bool keepsAlive() const { return m_keepsAlive; }
 
 private:
-    void addHead(const AnswerHead& head, std::string& out);
+    void addHead(const ResponseHead& head, std::string& out);
     void addData(std::string_view bytes, std::string& out) const;
     void addEnd(std::string& out);
-    void addCut(const AnswerCut& cut, std::string& out);
-    void addOwn(const OwnAnswer& answer, std::string& out);
+    void addAbort(const ResponseAbort& abort, std::string& out);
+    void addLocalResponse(const LocalResponse& local, std::string& out);
     void addLastEvent(std::string_view json, std::string_view before, std::string& out) const;
 
     Options m_options;
--- a/src/entry/retry-desk.h
+++ b/src/entry/retry-controller.h
@@ -10,7 +10,7 @@
 namespace swiftloft::entry {
 
 /// Retry policy and budget of each service, as its settings say.
-class RetryDesk {
+class RetryController {
 public:
     /// Options of a service changed or are new. What its organisations have earned stays unless the ratio changes.
     void setOptions(const settings::ServiceSettings& service);
@@ -19,15 +19,15 @@
     void onSuccess(const policy::TrafficKey& traffic);
 
 private:
-    struct Desk {
+    struct ServiceState {
         settings::Ratio ratio;
         policy::RetryPolicy policy;
         policy::RetryBudget budget;
     };
 
-    Desk& deskOf(const ServiceName& service);
+    ServiceState& stateOf(const ServiceName& service);
 
-    boost::unordered_flat_map<ServiceName, Desk, std::hash<ServiceName>> m_desks;
+    boost::unordered_flat_map<ServiceName, ServiceState, std::hash<ServiceName>> m_services;
 };
 
 } // namespace swiftloft::entry
--- a/src/entry/worker.cc
+++ b/src/entry/worker.cc
@@ -1,7 +1,7 @@
 #include "src/entry/worker.h"
 
-#include "src/entry/answer-writer.h"
 #include "src/entry/request-reader.h"
+#include "src/entry/response-writer.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/post.hpp>
@@ -22,11 +22,11 @@
 namespace {
 
 constexpr milliseconds linkTickInterval { 50 };
-constexpr seconds idleLimit { 75 };
+constexpr seconds idleTimeout { 75 };
 /// A client that takes no byte for so long is gone.
-constexpr seconds writeStallLimit { 20 };
-constexpr std::size_t mostBodyBytes = 8 * 1024 * 1024;
-constexpr std::size_t mostHeaderBytes = 32 * 1024;
+constexpr seconds writeStallTimeout { 20 };
+constexpr std::size_t maxBodyBytes = 8 * 1024 * 1024;
+constexpr std::size_t maxHeaderBytes = 32 * 1024;
 /// Pieces that wait together go out in one write up to about this size.
 constexpr std::size_t writeBatchBytes = 64 * 1024;
 constexpr unsigned workerIndexShift = 48;
@@ -39,33 +39,33 @@
     return path == "/healthz" || path == "/readyz" || path == "/metrics" || path.starts_with("/swiftloft/");
 }
 
-OwnAnswer toAnswer(const Refusal& refusal)
+LocalResponse toResponse(const Refusal& refusal)
 {
-    OwnAnswer answer;
-    answer.status = infoOf(refusal.reason).httpStatus;
-    answer.fields.set(http::field::content_type, "application/json");
-    answer.fields.set("Swiftloft-Verdict", std::string(toString(refusal.verdict)));
+    LocalResponse response;
+    response.status = infoOf(refusal.reason).httpStatus;
+    response.fields.set(http::field::content_type, "application/json");
+    response.fields.set("Swiftloft-Verdict", std::string(toString(refusal.verdict)));
     if (refusal.retryAfter)
-        answer.fields.set(http::field::retry_after, std::to_string(refusal.retryAfter->count()));
-    answer.body = toJson(refusal);
-    return answer;
+        response.fields.set(http::field::retry_after, std::to_string(refusal.retryAfter->count()));
+    response.body = toJson(refusal);
+    return response;
 }
 
-OwnAnswer toAnswer(process::StatusAnswer page)
+LocalResponse toResponse(process::StatusAnswer page)
 {
-    OwnAnswer answer;
-    answer.status = page.status;
-    answer.fields.set(http::field::content_type, page.contentType);
-    answer.body = std::move(page.body);
-    return answer;
+    LocalResponse response;
+    response.status = page.status;
+    response.fields.set(http::field::content_type, page.contentType);
+    response.body = std::move(page.body);
+    return response;
 }
 
-OwnAnswer badRequest(const std::string& details)
+LocalResponse badRequest(const std::string& details)
 {
     Refusal refusal;
     refusal.reason = RefusalReason::BadRequest;
     refusal.details = details;
-    return toAnswer(refusal);
+    return toResponse(refusal);
 }
 
 } // namespace
@@ -102,7 +102,7 @@
             for (auto& [id, link] : m_links)
                 link->stop();
             for (auto& [id, exchange] : m_exchanges)
-                exchange->setGone();
+                exchange->close();
             m_linkTimer.cancel();
             m_attempts.clear();
             m_links.clear();
@@ -169,10 +169,10 @@
     boost::beast::flat_buffer buf;
     for (;;) {
         http::request_parser<http::string_body> parser;
-        parser.body_limit(mostBodyBytes);
-        parser.header_limit(mostHeaderBytes);
-        stream.expires_at(Clock::now() + idleLimit);
-        std::optional<OwnAnswer> unreadable;
+        parser.body_limit(maxBodyBytes);
+        parser.header_limit(maxHeaderBytes);
+        stream.expires_at(Clock::now() + idleTimeout);
+        std::optional<LocalResponse> unreadable;
         try {
             co_await http::async_read(stream, buf, parser, use_awaitable);
         } catch (const boost::system::system_error& error) {
@@ -183,59 +183,59 @@
         stream.expires_never();
         if (unreadable) {
             auto exchange = std::make_shared<Exchange>(m_loop.ioContext(), RequestId(), std::make_shared<ClientMessage>());
-            [[maybe_unused]] auto taken = exchange->push(std::move(*unreadable));
-            co_await answer(stream, exchange);
+            [[maybe_unused]] auto consumed = exchange->push(std::move(*unreadable));
+            co_await writeResponse(stream, exchange);
             co_return;
         }
-        auto exchange = begin(parser.release());
+        auto exchange = beginExchange(parser.release());
         watchForClose(stream, exchange);
         auto keepsAlive = false;
         std::exception_ptr failure;
         try {
-            keepsAlive = co_await answer(stream, exchange);
+            keepsAlive = co_await writeResponse(stream, exchange);
         } catch (const boost::system::system_error&) {
             failure = std::current_exception();
         }
-        if (failure && !exchange->isGone())
-            m_outbox.post(ClientGone { exchange->id(), Clock::now() });
-        end(exchange);
+        if (failure && !exchange->isClosed())
+            m_outbox.post(ClientDisconnected { exchange->id(), Clock::now() });
+        endExchange(exchange);
         if (failure || !keepsAlive)
             co_return;
     }
 }
 
-asio::awaitable<bool> Worker::answer(Stream& stream, std::shared_ptr<Exchange> exchange)
+asio::awaitable<bool> Worker::writeResponse(Stream& stream, std::shared_ptr<Exchange> exchange)
 {
     auto& message = *exchange->message();
-    AnswerWriter::Options options;
+    ResponseWriter::Options options;
     options.httpVersion = message.version() ? message.version() : 11;
     options.isHeadRequest = message.method() == http::verb::head;
     options.keepsAlive = message.version() && message.keep_alive();
-    options.asksAgain = m_isLeaving;
+    options.isEntryLeaving = m_isLeaving;
     options.requestId = fmt::format("{:016x}-{}", m_options.incarnation.value(), exchange->id().value());
     options.entry = m_options.entry;
-    AnswerWriter writer(std::move(options));
+    ResponseWriter writer(std::move(options));
     std::string out;
     while (!writer.isDone()) {
         out.clear();
         writer.add(co_await exchange->next(), out);
         while (!writer.isDone() && exchange->hasNext() && out.size() < writeBatchBytes)
             writer.add(co_await exchange->next(), out);
-        stream.expires_at(Clock::now() + writeStallLimit);
+        stream.expires_at(Clock::now() + writeStallTimeout);
         co_await asio::async_write(stream, asio::buffer(out), use_awaitable);
         stream.expires_never();
     }
     co_return writer.keepsAlive();
 }
 
-std::shared_ptr<Exchange> Worker::begin(ClientMessage message)
+std::shared_ptr<Exchange> Worker::beginExchange(ClientMessage message)
 {
     RequestId id((static_cast<std::uint64_t>(m_options.index.value()) << workerIndexShift) | ++m_lastRequest);
     auto exchange = std::make_shared<Exchange>(m_loop.ioContext(), id, std::make_shared<ClientMessage>(std::move(message)));
     m_exchanges.emplace(id, exchange);
     auto target = exchange->message()->target();
     if (isStatusPage({ target.data(), target.size() })) {
-        beginPage(exchange);
+        requestStatusPage(exchange);
         return exchange;
     }
     auto now = Clock::now();
@@ -243,21 +243,21 @@
     if (info)
         m_outbox.post(RequestArrived { id, m_options.index, *info, now });
     else
-        giveAnswer(id, badRequest(info.error().message));
+        pushPart(id, badRequest(info.error().message));
     return exchange;
 }
 
-void Worker::beginPage(const std::shared_ptr<Exchange>& exchange)
+void Worker::requestStatusPage(const std::shared_ptr<Exchange>& exchange)
 {
     auto target = exchange->message()->target();
-    m_hooks.page(std::string(target), [this, id = exchange->id()](process::StatusAnswer page) {
-        asio::post(m_loop.ioContext(), [this, id, page = std::move(page)]() mutable { giveAnswer(id, toAnswer(std::move(page))); });
+    m_hooks.statusPage(std::string(target), [this, id = exchange->id()](process::StatusAnswer page) {
+        asio::post(m_loop.ioContext(), [this, id, page = std::move(page)]() mutable { pushPart(id, toResponse(std::move(page))); });
     });
 }
 
-void Worker::end(const std::shared_ptr<Exchange>& exchange)
+void Worker::endExchange(const std::shared_ptr<Exchange>& exchange)
 {
-    exchange->setGone();
+    exchange->close();
     m_exchanges.erase(exchange->id());
 }
 
@@ -268,29 +268,29 @@
     auto weak = std::weak_ptr(exchange);
     stream.socket().async_wait(tcp::socket::wait_read, [this, &stream, weak](boost::system::error_code ec) {
         auto exchange = weak.lock();
-        if (ec || !exchange || exchange->isGone())
+        if (ec || !exchange || exchange->isClosed())
             return;
         char c;
         stream.socket().non_blocking(true, ec);
         auto n = stream.socket().receive(asio::buffer(&c, 1), tcp::socket::message_peek, ec);
         if (ec == asio::error::would_block || n > 0)
             return;
-        exchange->setGone();
-        m_outbox.post(ClientGone { exchange->id(), Clock::now() });
+        exchange->close();
+        m_outbox.post(ClientDisconnected { exchange->id(), Clock::now() });
     });
 }
 
-std::shared_ptr<Exchange> Worker::find(RequestId id) const
+std::shared_ptr<Exchange> Worker::findExchange(RequestId id) const
 {
     auto it = m_exchanges.find(id);
     return it == m_exchanges.end() ? nullptr : it->second;
 }
 
-void Worker::giveAnswer(RequestId id, Piece piece)
+void Worker::pushPart(RequestId id, ResponsePart part)
 {
-    if (auto exchange = find(id))
+    if (auto exchange = findExchange(id))
         [[maybe_unused]]
-        auto taken = exchange->push(std::move(piece));
+        auto consumed = exchange->push(std::move(part));
 }
 
 void Worker::dropAttempt(RequestId id)
@@ -300,39 +300,39 @@
 
 void Worker::on(const StartAttempt& effect)
 {
-    auto& order = effect.order;
-    auto exchange = find(order.id);
-    auto link = m_links.find(order.ticket.agent);
+    auto& spec = effect.spec;
+    auto exchange = findExchange(spec.id);
+    auto link = m_links.find(spec.ticket.agent);
     if (!exchange || link == m_links.end()) {
-        m_outbox.post(AttemptEnded { order.id, order.attempt, AttemptEnd::Lost, Verdict::NotRun, AttemptReason::Other, Clock::now() });
+        m_outbox.post(AttemptEnded { spec.id, spec.attempt, AttemptOutcome::Lost, Verdict::NotRun, AttemptReason::Other, Clock::now() });
         return;
     }
     Attempt::Hooks hooks;
-    hooks.onOutputBegan = [this, id = order.id] { m_outbox.post(OutputBegan { id, Clock::now() }); };
-    hooks.onEnded = [this, id = order.id, serial = order.attempt](AttemptEnd end, Verdict verdict, AttemptReason reason, policy::CrashId crash) {
-        m_outbox.post(AttemptEnded { id, serial, end, verdict, reason, Clock::now(), crash });
+    hooks.onOutputBegan = [this, id = spec.id] { m_outbox.post(OutputBegan { id, Clock::now() }); };
+    hooks.onEnded = [this, id = spec.id, serial = spec.attempt](AttemptOutcome outcome, Verdict verdict, AttemptReason reason, policy::CrashId crash) {
+        m_outbox.post(AttemptEnded { id, serial, outcome, verdict, reason, Clock::now(), crash });
     };
-    auto attempt = std::make_shared<Attempt>(order, exchange, std::move(hooks));
-    m_attempts[order.id] = attempt;
-    link->second->begin(attempt);
+    auto attempt = std::make_shared<Attempt>(spec, exchange, std::move(hooks));
+    m_attempts[spec.id] = attempt;
+    link->second->startAttempt(attempt);
 }
 
 void Worker::on(const SendClaim& effect)
 {
     auto onReply = [this, id = effect.id, claim = effect.request.claim, home = effect.home](std::optional<policy::ClaimReply> reply) {
-        m_outbox.post(ClaimAnswered { id, claim, home, std::move(reply), Clock::now() });
+        m_outbox.post(ClaimCompleted { id, claim, home, std::move(reply), Clock::now() });
     };
     auto link = m_links.find(effect.home);
     if (link == m_links.end())
         return onReply(std::nullopt);
-    link->second->claim(effect.request, effect.deadline, std::move(onReply));
+    link->second->sendClaim(effect.request, effect.deadline, std::move(onReply));
 }
 
 void Worker::on(const SendRelease& effect)
 {
     auto link = m_links.find(effect.home);
     if (link != m_links.end())
-        link->second->release(effect.request);
+        link->second->sendRelease(effect.request);
 }
 
 void Worker::on(const CancelAttempt& effect)
@@ -346,16 +346,16 @@
     dropAttempt(effect.id);
 }
 
-void Worker::on(const Refuse& effect)
+void Worker::on(const RefuseRequest& effect)
 {
     dropAttempt(effect.id);
-    giveAnswer(effect.id, toAnswer(effect.refusal));
+    pushPart(effect.id, toResponse(effect.refusal));
 }
 
-void Worker::on(const CutAnswer& effect)
+void Worker::on(const AbortResponse& effect)
 {
     dropAttempt(effect.id);
-    giveAnswer(effect.id, AnswerCut { effect.refusal });
+    pushPart(effect.id, ResponseAbort { effect.refusal });
 }
 
 void Worker::on(const OpenLink& effect)
--- a/src/entry/worker.h
+++ b/src/entry/worker.h
@@ -35,7 +35,7 @@
         /// Hands events to the control thread, in order.
         std::function<void(std::vector<Event>)> post;
         /// Answers a status page; called on the control thread by the worker's own post.
-        std::function<void(std::string target, std::function<void(process::StatusAnswer)> reply)> page;
+        std::function<void(std::string target, std::function<void(process::StatusAnswer)> reply)> statusPage;
         /// Nothing is in progress here any more, after `Finish`.
         std::function<void()> onFinished;
     };
@@ -58,29 +58,29 @@
     void accept();
     void closeListener();
     boost::asio::awaitable<void> serve(Stream stream);
-    boost::asio::awaitable<bool> answer(Stream& stream, std::shared_ptr<Exchange> exchange);
-    std::shared_ptr<Exchange> begin(ClientMessage message);
-    void beginPage(const std::shared_ptr<Exchange>& exchange);
-    void end(const std::shared_ptr<Exchange>& exchange);
+    boost::asio::awaitable<bool> writeResponse(Stream& stream, std::shared_ptr<Exchange> exchange);
+    std::shared_ptr<Exchange> beginExchange(ClientMessage message);
+    void requestStatusPage(const std::shared_ptr<Exchange>& exchange);
+    void endExchange(const std::shared_ptr<Exchange>& exchange);
     void watchForClose(Stream& stream, const std::shared_ptr<Exchange>& exchange);
 
     void on(const StartAttempt& effect);
     void on(const SendClaim& effect);
     void on(const SendRelease& effect);
     void on(const CancelAttempt& effect);
-    void on(const Refuse& effect);
-    void on(const CutAnswer& effect);
+    void on(const RefuseRequest& effect);
+    void on(const AbortResponse& effect);
     void on(const OpenLink& effect);
     void on(const CloseLink& effect);
     void on(const PublishSuspicions& effect);
-    void on(const SendLoan&) { }
-    void on(const RecordAnswer&) { }
+    void on(const SendLendingMessage&) { }
+    void on(const RecordCompletion&) { }
     void on(const AnnounceLeaving&) { m_isLeaving = true; }
     void on(const CloseListeners& effect);
     void on(const Finish& effect);
 
-    std::shared_ptr<Exchange> find(RequestId id) const;
-    void giveAnswer(RequestId id, Piece piece);
+    std::shared_ptr<Exchange> findExchange(RequestId id) const;
+    void pushPart(RequestId id, ResponsePart part);
     void dropAttempt(RequestId id);
 
     WorkerOptions m_options;
--- a/test/entry-reducer_test.cc
+++ b/test/entry-reducer_test.cc
@@ -29,14 +29,14 @@
     Entry()
         : m_reducer(Reducer::create(options(m_now)).value())
     {
-        give(SettingsInForce { Revision(1), settings::Tree::parse(settingsText).result().value(), m_now });
-        give(ViewChanged { view(), m_now });
+        apply(SettingsActivated { Revision(1), settings::Tree::parse(settingsText).result().value(), m_now });
+        apply(ViewChanged { view(), m_now });
         for (auto id : { "model-1", "model-2", "plain-1", "plain-2" })
             report(id);
-        pass(milliseconds(300));
+        advance(milliseconds(300));
     }
 
-    Effects give(const Event& event)
+    Effects apply(const Event& event)
     {
         Effects effects;
         m_reducer.apply(event, effects);
@@ -50,7 +50,7 @@
         report.isEngineUp = true;
         report.isLeaving = isLeaving;
         report.epoch = policy::MintEpoch(1);
-        give(LinkReported { WorkerIndex(0), BackendServerId(id), report, m_now });
+        apply(LinkReported { WorkerIndex(0), BackendServerId(id), report, m_now });
     }
 
     Effects arrive(std::uint64_t id, const std::string& service, std::optional<RequestKey> key = {})
@@ -61,18 +61,18 @@
         info->method = "POST";
         info->clientKey = std::move(key);
         info->bodyHash = id;
-        return give(RequestArrived { RequestId(id), WorkerIndex(0), info, m_now });
+        return apply(RequestArrived { RequestId(id), WorkerIndex(0), info, m_now });
     }
 
-    Effects end(const AttemptOrder& order, AttemptEnd end, Verdict verdict, AttemptReason reason = AttemptReason::None, std::uint64_t crash = 0)
+    Effects end(const AttemptSpec& spec, AttemptOutcome outcome, Verdict verdict, AttemptReason reason = AttemptReason::None, std::uint64_t crash = 0)
     {
-        return give(AttemptEnded { order.id, order.attempt, end, verdict, reason, m_now, policy::CrashId(crash) });
+        return apply(AttemptEnded { spec.id, spec.attempt, outcome, verdict, reason, m_now, policy::CrashId(crash) });
     }
 
-    Effects pass(milliseconds time)
+    Effects advance(milliseconds time)
     {
         m_now += time;
-        return give(Tick { m_now });
+        return apply(Tick { m_now });
     }
 
     TimePoint now() const { return m_now; }
@@ -116,7 +116,7 @@
 };
 
 template <typename T>
-std::vector<T> all(const Effects& effects)
+std::vector<T> effectsOf(const Effects& effects)
 {
     std::vector<T> found;
     for (auto& effect : effects) {
@@ -126,16 +126,16 @@
     return found;
 }
 
-AttemptOrder started(const Effects& effects)
+AttemptSpec started(const Effects& effects)
 {
-    REQUIRE(all<StartAttempt>(effects).size() == 1);
-    return all<StartAttempt>(effects)[0].order;
+    REQUIRE(effectsOf<StartAttempt>(effects).size() == 1);
+    return effectsOf<StartAttempt>(effects)[0].spec;
 }
 
 Refusal refused(const Effects& effects)
 {
-    REQUIRE(all<Refuse>(effects).size() == 1);
-    return all<Refuse>(effects)[0].refusal;
+    REQUIRE(effectsOf<RefuseRequest>(effects).size() == 1);
+    return effectsOf<RefuseRequest>(effects)[0].refusal;
 }
 
 } // namespace
@@ -143,10 +143,10 @@
 TEST_CASE("Entry: a request goes to a server of its service, under a ticket for the incarnation that reported")
 {
     Entry entry;
-    auto order = started(entry.arrive(1, "model"));
-    CHECK(order.ticket.agentIncarnation == Incarnation(1));
-    CHECK(order.ticket.mintedBy == Incarnation(9));
-    CHECK(order.ticket.agent.value().starts_with("model-"));
+    auto spec = started(entry.arrive(1, "model"));
+    CHECK(spec.ticket.agentIncarnation == Incarnation(1));
+    CHECK(spec.ticket.mintedBy == Incarnation(9));
+    CHECK(spec.ticket.agent.value().starts_with("model-"));
 }
 
 // The only agent that took an order is lost with it. The order may have run and may not run twice: its caller is told so
@@ -154,9 +154,9 @@
 TEST_CASE("Entry: a request that may not repeat is not tried again once it may have run")
 {
     Entry entry;
-    auto order = started(entry.arrive(1, "plain"));
-    auto effects = entry.end(order, AttemptEnd::Lost, Verdict::MayHaveRun);
-    CHECK(all<StartAttempt>(effects).empty());
+    auto spec = started(entry.arrive(1, "plain"));
+    auto effects = entry.end(spec, AttemptOutcome::Lost, Verdict::MayHaveRun);
+    CHECK(effectsOf<StartAttempt>(effects).empty());
     CHECK(refused(effects).verdict == Verdict::MayHaveRun);
     CHECK(refused(effects).retryAfter.has_value());
 }
@@ -164,10 +164,10 @@
 TEST_CASE("Entry: a request that no agent has begun goes to another server")
 {
     Entry entry;
-    auto order = started(entry.arrive(1, "plain"));
-    auto next = started(entry.end(order, AttemptEnd::Refused, Verdict::NotRun, AttemptReason::Leaving));
-    CHECK(next.ticket.agent != order.ticket.agent);
-    CHECK(next.attempt != order.attempt);
+    auto spec = started(entry.arrive(1, "plain"));
+    auto next = started(entry.end(spec, AttemptOutcome::Refused, Verdict::NotRun, AttemptReason::Leaving));
+    CHECK(next.ticket.agent != spec.ticket.agent);
+    CHECK(next.attempt != spec.attempt);
 }
 
 // An agent refuses because it is leaving; its last report, which said nothing of it, is a moment old. The next requests
@@ -175,10 +175,10 @@
 TEST_CASE("Entry: a server that refused as leaving gets nothing more, though its report is older")
 {
     Entry entry;
-    auto order = started(entry.arrive(1, "plain"));
-    entry.end(order, AttemptEnd::Refused, Verdict::NotRun, AttemptReason::Leaving);
+    auto spec = started(entry.arrive(1, "plain"));
+    entry.end(spec, AttemptOutcome::Refused, Verdict::NotRun, AttemptReason::Leaving);
     for (std::uint64_t n = 2; n < 12; ++n)
-        CHECK(started(entry.arrive(n, "plain")).ticket.agent != order.ticket.agent);
+        CHECK(started(entry.arrive(n, "plain")).ticket.agent != spec.ticket.agent);
 }
 
 // A server leaves and a new process starts in its slot, under the same name. It is not leaving.
@@ -197,14 +197,14 @@
 TEST_CASE("Entry: the late end of an attempt that was given up is ignored")
 {
     Entry entry;
-    auto order = started(entry.arrive(1, "plain"));
+    auto spec = started(entry.arrive(1, "plain"));
     Effects effects;
-    for (int n = 0; n < 200 && all<Refuse>(effects).empty(); ++n)
-        effects = entry.pass(milliseconds(1000));
+    for (int n = 0; n < 200 && effectsOf<RefuseRequest>(effects).empty(); ++n)
+        effects = entry.advance(milliseconds(1000));
     CHECK(refused(effects).reason == RefusalReason::DeadlinePassed);
     CHECK(refused(effects).verdict == Verdict::MayHaveRun);
-    CHECK(all<CancelAttempt>(effects).size() == 1);
-    CHECK(entry.end(order, AttemptEnd::Answered, Verdict::Ran).empty());
+    CHECK(effectsOf<CancelAttempt>(effects).size() == 1);
+    CHECK(entry.end(spec, AttemptOutcome::Answered, Verdict::Ran).empty());
 }
 
 // A server refuses a request, and it goes to another. Word of the first attempt comes once more, doubled. Taken for the end
@@ -213,11 +213,11 @@
 {
     Entry entry;
     auto first = started(entry.arrive(1, "plain"));
-    auto second = started(entry.end(first, AttemptEnd::Refused, Verdict::NotRun, AttemptReason::Leaving));
-    CHECK(entry.end(first, AttemptEnd::Lost, Verdict::MayHaveRun).empty());
-    auto answered = entry.end(second, AttemptEnd::Answered, Verdict::Ran);
-    REQUIRE(all<RecordAnswer>(answered).size() == 1);
-    CHECK(all<RecordAnswer>(answered)[0].verdict == Verdict::Ran);
+    auto second = started(entry.end(first, AttemptOutcome::Refused, Verdict::NotRun, AttemptReason::Leaving));
+    CHECK(entry.end(first, AttemptOutcome::Lost, Verdict::MayHaveRun).empty());
+    auto answered = entry.end(second, AttemptOutcome::Answered, Verdict::Ran);
+    REQUIRE(effectsOf<RecordCompletion>(answered).size() == 1);
+    CHECK(effectsOf<RecordCompletion>(answered)[0].verdict == Verdict::Ran);
 }
 
 // A request crashes the engine that runs it. It is tried once more, alone, and crashes that one too; then it is refused,
@@ -226,16 +226,16 @@
 {
     Entry entry;
     auto first = started(entry.arrive(1, "model"));
-    entry.end(first, AttemptEnd::Failed, Verdict::MayHaveRun, AttemptReason::EngineCrashed, 71);
+    entry.end(first, AttemptOutcome::Failed, Verdict::MayHaveRun, AttemptReason::EngineCrashed, 71);
     Effects retried;
-    for (int n = 0; n < 50 && all<StartAttempt>(retried).empty(); ++n)
-        retried = entry.pass(milliseconds(20));
+    for (int n = 0; n < 50 && effectsOf<StartAttempt>(retried).empty(); ++n)
+        retried = entry.advance(milliseconds(20));
     auto second = started(retried);
     CHECK(second.runsAlone);
-    auto effects = entry.end(second, AttemptEnd::Failed, Verdict::MayHaveRun, AttemptReason::EngineCrashed, 72);
-    CHECK(all<PublishSuspicions>(effects).size() == 1);
+    auto effects = entry.end(second, AttemptOutcome::Failed, Verdict::MayHaveRun, AttemptReason::EngineCrashed, 72);
+    CHECK(effectsOf<PublishSuspicions>(effects).size() == 1);
     auto again = entry.arrive(1, "model", RequestKey("another"));
-    CHECK(all<StartAttempt>(again).empty());
+    CHECK(effectsOf<StartAttempt>(again).empty());
     CHECK(refused(again).reason == RefusalReason::Quarantined);
 }
 
@@ -244,31 +244,31 @@
 {
     Entry entry;
     for (auto id : { "plain-1", "plain-2" })
-        entry.give(LinkDown { WorkerIndex(0), BackendServerId(id), entry.now() });
+        entry.apply(LinkDown { WorkerIndex(0), BackendServerId(id), entry.now() });
     auto effects = entry.arrive(1, "plain", RequestKey("mine"));
-    for (auto& claim : all<SendClaim>(effects))
-        effects = entry.give(ClaimAnswered { claim.id, claim.request.claim, claim.home, std::nullopt, entry.now() });
+    for (auto& claim : effectsOf<SendClaim>(effects))
+        effects = entry.apply(ClaimCompleted { claim.id, claim.request.claim, claim.home, std::nullopt, entry.now() });
     CHECK(refused(effects).verdict == Verdict::MayHaveRun);
 }
 
 TEST_CASE("Entry: a leaving entry takes requests while clients may hold its address, and then finishes")
 {
     Entry entry;
-    auto effects = entry.give(LeaveRequested { entry.now() });
-    CHECK(all<AnnounceLeaving>(effects).size() == 1);
-    CHECK(all<CloseListeners>(effects).empty());
-    auto order = started(entry.arrive(1, "model"));
-    effects = entry.pass(seconds(10));
-    CHECK(all<CloseListeners>(effects).size() == 1);
-    CHECK(all<Finish>(effects).empty());
-    entry.end(order, AttemptEnd::Answered, Verdict::Ran);
-    CHECK(all<Finish>(entry.pass(milliseconds(10))).size() == 1);
+    auto effects = entry.apply(LeaveRequested { entry.now() });
+    CHECK(effectsOf<AnnounceLeaving>(effects).size() == 1);
+    CHECK(effectsOf<CloseListeners>(effects).empty());
+    auto spec = started(entry.arrive(1, "model"));
+    effects = entry.advance(seconds(10));
+    CHECK(effectsOf<CloseListeners>(effects).size() == 1);
+    CHECK(effectsOf<Finish>(effects).empty());
+    entry.end(spec, AttemptOutcome::Answered, Verdict::Ran);
+    CHECK(effectsOf<Finish>(entry.advance(milliseconds(10))).size() == 1);
 }
 
 TEST_CASE("Entry: an older revision of the settings is not taken")
 {
     Entry entry;
-    entry.give(SettingsInForce { Revision(5), settings::Tree::parse("[service other]\nkind = plain\n").result().value(), entry.now() });
-    entry.give(SettingsInForce { Revision(4), settings::Tree::parse(settingsText).result().value(), entry.now() });
+    entry.apply(SettingsActivated { Revision(5), settings::Tree::parse("[service other]\nkind = plain\n").result().value(), entry.now() });
+    entry.apply(SettingsActivated { Revision(4), settings::Tree::parse(settingsText).result().value(), entry.now() });
     CHECK(refused(entry.arrive(1, "model")).reason == RefusalReason::UnknownService);
 }
