--- a/bench/expertmap-bench.cc
+++ b/bench/expertmap-bench.cc
@@ -63,7 +63,7 @@
 
 void replayAll(const Trace& trace, const Arguments& arguments)
 {
-    auto initial = ExpertMap::even(trace.shape).value();
+    auto initial = ExpertMap::contiguous(trace.shape).value();
     ReplayOptions options;
     std::vector<Figures> runs;
     for (auto& policy : allPolicies(initial))
@@ -100,7 +100,7 @@
 void timeDecision(const MapShape& shape)
 {
     auto trace = generate(TraceKind::Flip, shape, 16, 1);
-    auto planner = Planner::create(viaHeOptions(), ExpertMap::even(shape).value()).value();
+    auto planner = Planner::create(viaHeOptions(), ExpertMap::contiguous(shape).value()).value();
     for (std::uint32_t t = 0; t < 8; ++t)
         planner.observe(TimePoint(std::chrono::minutes(5 * (t + 1))), trace.loads[t]);
     auto begin = std::chrono::steady_clock::now();
@@ -138,7 +138,7 @@
 Worst worstOf(TraceKind kind, const MapShape& shape, const Arguments& arguments)
 {
     Worst worst;
-    auto initial = ExpertMap::even(shape).value();
+    auto initial = ExpertMap::contiguous(shape).value();
     for (std::uint64_t seed = arguments.seed; seed < arguments.seed + arguments.seeds; ++seed) {
         auto trace = generate(kind, shape, arguments.intervals, seed);
         std::vector<Figures> runs;
@@ -207,7 +207,7 @@
                 engine.armed.reset();
             } else if (auto* drop = std::get_if<DropMaps>(&order.order))
                 engine.staged = { drop->keep };
-            take(coordinator.apply(now, coordination::ReportArrived { { order.rank, Incarnation(1), order.fence, order.round, engine } }));
+            take(coordinator.apply(now, coordination::ReportReceived { { order.rank, Incarnation(1), order.fence, order.round, engine } }));
         }
     };
     auto runRounds = [&](int rounds) {
@@ -222,7 +222,7 @@
     };
     runRounds(2);
     double idle = runRounds(20) / static_cast<double>(orders);
-    take(coordinator.apply(now, coordination::MapWanted { second }));
+    take(coordinator.apply(now, coordination::MapChangeRequested { second }));
     double change = runRounds(4);
     fmt::print("  {:4} ranks: {:.2f} us an idle report, {} orders and {:.0f} us a change (coordinator only)\n", ranks, idle, orders, change);
 }
@@ -240,7 +240,7 @@
     SwitchPoint point { MapVersion(2), StepNumber(40) };
     EngineStatus status { Incarnation(3), true, MapVersion(1), StepNumber(39), point, true, { MapVersion(1), MapVersion(2) } };
     fmt::print("  largest report {} bytes, largest order {}, map of 64 ranks x 60 layers {}\n", bytesOf<schema::RankReport>(RankReport { {}, Incarnation(1), {}, 1, status }),
-        bytesOf<schema::RankOrder>(RankOrder { {}, 1, {}, Incarnation(3), Admit { MapVersion(1), point } }), bytesOf<schema::ExpertMap>(VersionedMap { MapVersion(1), ExpertMap::even({ 64, 60, 64, 2 }).value() }));
+        bytesOf<schema::RankOrder>(RankOrder { {}, 1, {}, Incarnation(3), Admit { MapVersion(1), point } }), bytesOf<schema::ExpertMap>(VersionedMap { MapVersion(1), ExpertMap::contiguous({ 64, 60, 64, 2 }).value() }));
 }
 
 void timeCoordinators()
--- a/include/swiftloft/expertmap/coordinator.h
+++ b/include/swiftloft/expertmap/coordinator.h
@@ -13,23 +13,23 @@
 
 namespace coordination {
 
-struct ReportArrived {
+struct ReportReceived {
     RankReport report;
 };
-struct HelloArrived {
+struct HelloReceived {
     RankHello hello;
 };
 /// The group shall run with `version`, now and after restarts. Replaces an earlier wish; a switch that a rank may be
 /// armed for is seen through first.
-struct MapWanted {
+struct MapChangeRequested {
     MapVersion version;
 };
 /// The wish is withdrawn: the group keeps the map it has. A switch that a rank may be armed for is seen through.
-struct WishWithdrawn { };
+struct MapChangeWithdrawn { };
 /// Time passed. Deliver one at least every `Options::retryAfter`.
 struct Ticked { };
 
-using Event = std::variant<ReportArrived, HelloArrived, MapWanted, WishWithdrawn, Ticked>;
+using Event = std::variant<ReportReceived, HelloReceived, MapChangeRequested, MapChangeWithdrawn, Ticked>;
 
 /// Send to the agent at the address of the rank.
 struct SendOrder {
@@ -88,23 +88,23 @@
         /// Map to admit engines with when no rank of the group has one (first start, or all restarted) and none is wanted.
         MapVersion initial;
         /// Ranks that load weights at the same time; keeps the group within its share of the weight store's rate.
-        std::uint32_t stagingRanks { 1 };
+        std::uint32_t maxStagingRanks { 1 };
         /// Steps between the newest known step and the first switch step tried; doubled when that was too few.
         std::uint64_t leadSteps { 32 };
         /// Bound of that doubling.
         std::uint64_t maxLeadSteps { 4096 };
-        milliseconds retryAfter { 20 };
+        milliseconds retryInterval { 20 };
         /// Ranks are read this often while nothing happens, to find restarted engines.
-        milliseconds idleReadAfter { 1000 };
+        milliseconds idleReadInterval { 1000 };
         /// A rank that loads weights is asked this often whether it has them.
-        milliseconds stagePollAfter { 200 };
+        milliseconds stagePollInterval { 200 };
         /// When positive, takes the place of `leadSteps` once the time of a step is known: the lead is as many steps as
         /// last at least this long. What the lead is for, arming all ranks, takes time and not steps.
         milliseconds leadTime { 0 };
         /// The time of a step is measured over this long at least. Reports of two ranks that were read on both sides of a
         /// step's begin come within a millisecond; measured between them a step passes for that short, and the switch is
         /// put up to `maxLeadSteps` ahead, seconds late.
-        milliseconds stepMeasuredOver { 200 };
+        milliseconds minStepMeasurementTime { 200 };
     };
 
     /// Fails with `InvalidArgument` when there is no rank, a time or lead is not positive, or the incarnation is zero.
@@ -114,13 +114,13 @@
 
     CoordinatorPhase phase() const { return m_phase; }
     FencingNumber fence() const { return m_fence; }
-    std::optional<MapVersion> wanted() const { return m_wanted; }
+    std::optional<MapVersion> targetMap() const { return m_targetMap; }
     /// The switch point that some rank is armed for, if any.
-    std::optional<SwitchPoint> pending() const;
+    std::optional<SwitchPoint> pendingSwitch() const;
     /// True once the rank has reported that it is armed for `pending`.
     bool isKnownArmed(RankIndex rank) const;
     /// Ranks whose state is not known since this coordinator began; while any is left, no change starts.
-    std::vector<RankIndex> unheardRanks() const;
+    std::vector<RankIndex> ranksWithoutStatus() const;
     /// Ranks that have not reported since `time`; what a status page names when the group holds.
     std::vector<RankIndex> silentRanks(TimePoint time) const;
 
@@ -129,7 +129,7 @@
         std::optional<EngineStatus> status;
         /// Round of the report that `status` came with.
         std::uint64_t round { 0 };
-        TimePoint heardAt;
+        TimePoint reportedAt;
         std::optional<Order> lastOrder;
         TimePoint resendAt;
     };
@@ -138,27 +138,27 @@
 
     void onReport(TimePoint now, const RankReport& report, coordination::Effects& effects);
     void onHello(TimePoint now, const RankHello& hello, coordination::Effects& effects);
-    void inquireAgain(FencingNumber newer);
+    void restartInquiry(FencingNumber newer);
     void advance(TimePoint now, coordination::Effects& effects);
-    bool heardAll() const;
+    bool hasAllStatuses() const;
     void readAll(TimePoint now, milliseconds every, coordination::Effects& effects);
 
-    void carryForward(TimePoint now, const SwitchPoint& point, coordination::Effects& effects);
+    void resolveSwitch(TimePoint now, const SwitchPoint& point, coordination::Effects& effects);
     void release(TimePoint now, const SwitchPoint& point, coordination::Effects& effects);
     void cancel(TimePoint now, const SwitchPoint& point, coordination::Effects& effects);
-    void armRest(TimePoint now, const SwitchPoint& point, coordination::Effects& effects);
-    std::vector<Incarnation> waitingEngines() const;
-    bool admitWaiting(TimePoint now, coordination::Effects& effects);
-    void bringBack(TimePoint now, std::uint32_t rank, const std::optional<SwitchPoint>& point, coordination::Effects& effects);
+    void armRemaining(TimePoint now, const SwitchPoint& point, coordination::Effects& effects);
+    std::vector<Incarnation> unadmittedEngines() const;
+    bool admitEngines(TimePoint now, coordination::Effects& effects);
+    void readmit(TimePoint now, std::uint32_t rank, const std::optional<SwitchPoint>& point, coordination::Effects& effects);
     bool stage(TimePoint now, MapVersion version, coordination::Effects& effects);
-    void startChange(TimePoint now, MapVersion version, coordination::Effects& effects);
+    void advanceChange(TimePoint now, MapVersion version, coordination::Effects& effects);
     void finishChange(coordination::Effects& effects);
     void dropOldMaps(TimePoint now, coordination::Effects& effects);
 
     MapVersion groupMap() const;
     StepNumber newestStep() const;
     void measureStep(TimePoint now, StepNumber newest);
-    std::uint64_t leadSteps() const;
+    std::uint64_t effectiveLeadSteps() const;
     void send(TimePoint now, std::uint32_t rank, const Order& order, coordination::Effects& effects, std::optional<milliseconds> every = std::nullopt);
 
     Options m_options;
@@ -166,18 +166,18 @@
     CoordinatorPhase m_phase { CoordinatorPhase::Inquiring };
     std::vector<RankView> m_ranks;
     std::uint64_t m_round { 0 };
-    std::optional<MapVersion> m_wanted;
+    std::optional<MapVersion> m_targetMap;
     /// The switch point this coordinator armed or found armed last.
-    std::optional<SwitchPoint> m_point;
+    std::optional<SwitchPoint> m_switchPoint;
     /// Doubled with each switch step that was reached too soon.
     std::uint64_t m_leadFactor { 1 };
     /// Newest step known, since when, and how long the steps before it took each.
-    StepNumber m_stepSeen;
-    TimePoint m_stepSeenAt;
+    StepNumber m_measuredStep;
+    TimePoint m_measuredAt;
     std::optional<Clock::duration> m_stepTime;
     /// Engines seen waiting to be admitted; they are, once every rank has reported in a round after `m_freshRound`.
-    std::vector<Incarnation> m_waiting;
-    std::uint64_t m_freshRound { 0 };
+    std::vector<Incarnation> m_unadmittedEngines;
+    std::uint64_t m_freshAfterRound { 0 };
     bool m_hasLed { false };
 };
 
--- a/include/swiftloft/expertmap/expert-map.h
+++ b/include/swiftloft/expertmap/expert-map.h
@@ -33,10 +33,10 @@
     static Result<ExpertMap> create(const MapShape& shape, std::vector<ExpertIndex> slots);
     /// Experts in order over the ranks, and spare slots filled with replicas in the same order, half the ranks further
     /// on. Fails when the experts don't fit.
-    static Result<ExpertMap> even(const MapShape& shape);
+    static Result<ExpertMap> contiguous(const MapShape& shape);
 
     /// Experts dealt to the ranks one by one, and spare slots empty. Fails when the experts don't fit.
-    static Result<ExpertMap> inTurn(const MapShape& shape);
+    static Result<ExpertMap> roundRobin(const MapShape& shape);
 
     const MapShape& shape() const { return m_shape; }
     std::span<const ExpertIndex> layer(LayerIndex layer) const;
--- a/include/swiftloft/expertmap/protocol.h
+++ b/include/swiftloft/expertmap/protocol.h
@@ -52,9 +52,9 @@
 
     bool hasStaged(MapVersion version) const;
     /// True when the engine runs `point.step` with `point.version`, or must: it entered it so or was released to.
-    bool hasTaken(const SwitchPoint& point) const;
+    bool isCommittedTo(const SwitchPoint& point) const;
     /// True when the engine entered `point.step` with another map.
-    bool hasPassed(const SwitchPoint& point) const;
+    bool hasMissed(const SwitchPoint& point) const;
     bool isArmedFor(const SwitchPoint& point) const { return armed == point; }
 
     friend bool operator==(const EngineStatus&, const EngineStatus&) = default;
--- a/include/swiftloft/expertmap/rank-agent.h
+++ b/include/swiftloft/expertmap/rank-agent.h
@@ -21,25 +21,25 @@
 namespace rank {
 
 /// An order from a coordinator arrived.
-struct OrderArrived {
+struct OrderReceived {
     RankOrder order;
 };
 /// The engine answered the order with this id; `status` is its state after the order.
-struct EngineAnswered {
+struct EngineResponded {
     std::uint64_t id { 0 };
     EngineStatus status;
     /// Highest fencing number the engine has seen; zero for engines that ignore them.
     FencingNumber fence;
 };
 /// The connection to the engine broke. Orders in flight may or may not have been taken.
-struct EngineLost { };
+struct EngineDisconnected { };
 /// Time passed. Deliver one at least every `Options::engineTimeout`.
 struct Ticked { };
 
-using Event = std::variant<OrderArrived, EngineAnswered, EngineLost, Ticked>;
+using Event = std::variant<OrderReceived, EngineResponded, EngineDisconnected, Ticked>;
 
 /// Write to the engine.
-struct WriteEngine {
+struct SendToEngine {
     EngineOrder order;
 };
 /// Send to the coordinator with this incarnation.
@@ -56,7 +56,7 @@
     RankOrder order;
 };
 
-using Effect = std::variant<WriteEngine, SendReport, SendHello, OrderRefused>;
+using Effect = std::variant<SendToEngine, SendReport, SendHello, OrderRefused>;
 using Effects = std::vector<Effect>;
 
 } // namespace rank
@@ -76,7 +76,7 @@
         /// After this long without an answer, the engine is read again.
         milliseconds engineTimeout { 50 };
         /// An engine that waits longer than this makes the agent ask rank 0.
-        milliseconds askAfter { 25 };
+        milliseconds helloInterval { 25 };
     };
 
     /// Fails with `InvalidArgument` when a time is not positive or the incarnation is zero.
@@ -89,33 +89,33 @@
     const std::optional<EngineStatus>& status() const { return m_status; }
     FencingNumber promised() const { return m_promised; }
     /// True while the engine waits for a decision: armed and not released, or not admitted.
-    bool isWaiting() const;
+    bool isEngineWaiting() const;
 
 private:
     explicit RankAgent(const Options& options);
 
     void onOrder(TimePoint now, const RankOrder& order, rank::Effects& effects);
-    void onAnswer(TimePoint now, const rank::EngineAnswered& answer, rank::Effects& effects);
+    void onEngineResponse(TimePoint now, const rank::EngineResponded& response, rank::Effects& effects);
     void onTick(TimePoint now, rank::Effects& effects);
-    void beginNext(TimePoint now, rank::Effects& effects);
-    void write(TimePoint now, const Order& order, rank::Effects& effects);
-    bool stillFits(const RankOrder& order) const;
-    void report(rank::Effects& effects);
-    void forgetEngine();
+    void startNextOrder(TimePoint now, rank::Effects& effects);
+    void sendToEngine(TimePoint now, const Order& order, rank::Effects& effects);
+    bool isStillValid(const RankOrder& order) const;
+    void sendReport(rank::Effects& effects);
+    void resetEngineState();
 
     Options m_options;
     FencingNumber m_promised;
     std::optional<EngineStatus> m_status;
     /// The coordinator's order that is being carried out.
-    std::optional<RankOrder> m_current;
+    std::optional<RankOrder> m_currentOrder;
     /// The newest order that arrived meanwhile; older ones are superseded, the coordinator repeats what it needs.
-    std::optional<RankOrder> m_next;
+    std::optional<RankOrder> m_nextOrder;
     /// The engine's state was read for `m_current`, so that its order itself is now in flight.
-    bool m_isOrderWritten { false };
+    bool m_isOrderSent { false };
     bool m_isInFlight { false };
     std::uint64_t m_lastId { 0 };
     TimePoint m_engineDeadline;
-    TimePoint m_askAt;
+    TimePoint m_nextHelloAt;
 };
 
 } // namespace swiftloft::expertmap
--- a/samples/expert-map-protocol.cc
+++ b/samples/expert-map-protocol.cc
@@ -67,21 +67,21 @@
             m_agents.push_back(RankAgent::create({ RankIndex(r), Incarnation(10 + r) }).value());
         }
         for (std::uint32_t r = 0; r < shape.ranks; ++r)
-            carryOut(r, m_agents[r].start(m_now));
+            execute(r, m_agents[r].start(m_now));
     }
 
-    void want(MapVersion version) { carryOut(m_coordinator.apply(m_now, coordination::MapWanted { version })); }
+    void requestMap(MapVersion version) { execute(m_coordinator.apply(m_now, coordination::MapChangeRequested { version })); }
 
     /// One step of the group, and a tick for everyone.
     void step()
     {
         m_now += milliseconds(6);
         for (std::uint32_t r = 0; r < shape.ranks; ++r)
-            carryOut(r, m_agents[r].apply(m_now, rank::Ticked {}));
-        carryOut(m_coordinator.apply(m_now, coordination::Ticked {}));
+            execute(r, m_agents[r].apply(m_now, rank::Ticked {}));
+        execute(m_coordinator.apply(m_now, coordination::Ticked {}));
         StepNumber next(m_steps + 1);
-        bool mayAll = std::all_of(std::begin(m_engines), std::end(m_engines), [&](auto& it) { return it.mayEnter(next); });
-        if (!mayAll)
+        bool mayAllEnter = std::all_of(std::begin(m_engines), std::end(m_engines), [&](auto& it) { return it.mayEnter(next); });
+        if (!mayAllEnter)
             return;
         for (auto& engine : m_engines)
             engine.enter(next);
@@ -96,25 +96,25 @@
     bool isFinished() const { return m_isFinished; }
 
 private:
-    void carryOut(std::uint32_t r, const rank::Effects& effects)
+    void execute(std::uint32_t r, const rank::Effects& effects)
     {
         for (auto& effect : effects) {
-            if (auto* write = std::get_if<rank::WriteEngine>(&effect)) {
+            if (auto* write = std::get_if<rank::SendToEngine>(&effect)) {
                 m_engines[r].apply(write->order.order);
-                carryOut(r, m_agents[r].apply(m_now, rank::EngineAnswered { write->order.id, m_engines[r].status, {} }));
+                execute(r, m_agents[r].apply(m_now, rank::EngineResponded { write->order.id, m_engines[r].status, {} }));
             } else if (auto* report = std::get_if<rank::SendReport>(&effect))
-                carryOut(m_coordinator.apply(m_now, coordination::ReportArrived { report->report }));
+                execute(m_coordinator.apply(m_now, coordination::ReportReceived { report->report }));
             else if (auto* hello = std::get_if<rank::SendHello>(&effect))
-                carryOut(m_coordinator.apply(m_now, coordination::HelloArrived { hello->hello }));
+                execute(m_coordinator.apply(m_now, coordination::HelloReceived { hello->hello }));
         }
     }
 
-    void carryOut(const coordination::Effects& effects)
+    void execute(const coordination::Effects& effects)
     {
         for (auto& effect : effects) {
             if (auto* send = std::get_if<coordination::SendOrder>(&effect)) {
                 auto r = send->order.rank.value();
-                carryOut(r, m_agents[r].apply(m_now, rank::OrderArrived { send->order }));
+                execute(r, m_agents[r].apply(m_now, rank::OrderReceived { send->order }));
             } else if (auto* finished = std::get_if<coordination::ChangeFinished>(&effect)) {
                 fmt::print("all ranks run map {:016x} from step {}\n", finished->point.version.value(), finished->point.step.value());
                 m_isFinished = true;
@@ -125,7 +125,7 @@
     TimePoint m_now;
     Engine m_engines[shape.ranks];
     std::vector<RankAgent> m_agents;
-    Coordinator m_coordinator { Coordinator::create({ Incarnation(10), shape.ranks, ExpertMap::even(shape).value().version() }).value() };
+    Coordinator m_coordinator { Coordinator::create({ Incarnation(10), shape.ranks, ExpertMap::contiguous(shape).value().version() }).value() };
     std::uint64_t m_steps { 0 };
     bool m_isFinished { false };
 };
@@ -134,7 +134,7 @@
 {
     Planner::Options options;
     options.skewWeight = 4;
-    auto planner = Planner::create(options, ExpertMap::even(shape).value()).value();
+    auto planner = Planner::create(options, ExpertMap::contiguous(shape).value()).value();
     std::vector<double> tokens { 9000, 1000, 1000, 1000, 1000, 1000, 1000, 1000 };
     TimePoint now;
     for (int n = 0; n < 6; ++n) {
@@ -157,7 +157,7 @@
     Group group;
     for (int n = 0; n < 100 && group.steps() < 10; ++n)
         group.step();
-    group.want(plan.map->version());
+    group.requestMap(plan.map->version());
     for (int n = 0; n < 1000 && !group.isFinished(); ++n)
         group.step();
     return group.allRun(plan.map->version()) ? 0 : 1;
--- a/src/agent/engine-orders.cc
+++ b/src/agent/engine-orders.cc
@@ -78,7 +78,7 @@
         http::response<http::string_body> response;
         co_await http::async_read(stream, connection->buffer, response, use_awaitable);
         stream.expires_never();
-        auto answer = engine_json::parseAnswer(response.body());
+        auto answer = engine_json::parseResponse(response.body());
         if (connection != m_connection)
             co_return;
         if (!isAnswer(response.result()) || !answer || !response.keep_alive()) {
--- a/src/agent/engine-orders.h
+++ b/src/agent/engine-orders.h
@@ -18,7 +18,7 @@
 class EngineOrders {
 public:
     struct Hooks {
-        std::function<void(const expertmap::rank::EngineAnswered&)> onAnswered;
+        std::function<void(const expertmap::rank::EngineResponded&)> onAnswered;
         /// The connection broke; the next order opens another.
         std::function<void()> onLost;
     };
--- a/src/agent/group-member.cc
+++ b/src/agent/group-member.cc
@@ -98,7 +98,7 @@
     m_coordinatorDueAt.reset();
     m_coordinator = Coordinator::create(m_options.coordination).value();
     if (m_wanted)
-        onCoordinatorEvent(coordination::MapWanted { *m_wanted });
+        onCoordinatorEvent(coordination::MapChangeRequested { *m_wanted });
     else
         onCoordinatorEvent(coordination::Ticked {});
 }
@@ -132,7 +132,7 @@
         std::visit([this](auto& it) { perform(it); }, effect);
 }
 
-void GroupMember::perform(const rank::WriteEngine& effect)
+void GroupMember::perform(const rank::SendToEngine& effect)
 {
     auto* stage = std::get_if<StageMap>(&effect.order.order);
     if (!stage) {
@@ -204,11 +204,11 @@
         if (m_holders.size() >= mostHolders)
             m_holders.clear();
         m_holders[order->fence.holder] = from;
-        onEngine(rank::OrderArrived { *order });
+        onEngine(rank::OrderReceived { *order });
     } else if (auto* report = std::get_if<RankReport>(&message))
-        onCoordinatorEvent(coordination::ReportArrived { *report });
+        onCoordinatorEvent(coordination::ReportReceived { *report });
     else if (auto* hello = std::get_if<RankHello>(&message))
-        onCoordinatorEvent(coordination::HelloArrived { *hello });
+        onCoordinatorEvent(coordination::HelloReceived { *hello });
     else if (auto* wanted = std::get_if<MapWantedFrom>(&message)) {
         if (auto* map = m_maps.find(wanted->version))
             m_transport->send(from, VersionedMap { wanted->version, *map });
@@ -271,13 +271,13 @@
     m_maps.add(named);
     m_wanted = named.version;
     m_lastTold = named.version;
-    onCoordinatorEvent(coordination::MapWanted { named.version });
+    onCoordinatorEvent(coordination::MapChangeRequested { named.version });
 }
 
 void GroupMember::withdraw()
 {
     m_wanted.reset();
-    onCoordinatorEvent(coordination::WishWithdrawn {});
+    onCoordinatorEvent(coordination::MapChangeWithdrawn {});
 }
 
 void GroupMember::sendLoads(const RankLoads& loads)
@@ -301,7 +301,7 @@
     onCoordinatorEvent(coordination::Ticked {});
     if (m_coordinator)
         noticeHold(now);
-    bool isIdle = !m_agent.isWaiting() && (!m_coordinator || m_coordinator->phase() == CoordinatorPhase::Idle);
+    bool isIdle = !m_agent.isEngineWaiting() && (!m_coordinator || m_coordinator->phase() == CoordinatorPhase::Idle);
     m_timer.expires_at(now + (isIdle ? idleTick : busyTick));
     m_timer.async_wait([this](boost::system::error_code ec) {
         if (!ec)
--- a/src/agent/group-member.h
+++ b/src/agent/group-member.h
@@ -83,7 +83,7 @@
     void startCoordinator();
     void carryOut(const expertmap::rank::Effects& effects);
     void carryOut(const expertmap::coordination::Effects& effects);
-    void perform(const expertmap::rank::WriteEngine& effect);
+    void perform(const expertmap::rank::SendToEngine& effect);
     void perform(const expertmap::rank::SendReport& effect);
     void perform(const expertmap::rank::SendHello& effect);
     void perform(const expertmap::rank::OrderRefused& effect);
--- a/src/agent/map-control.cc
+++ b/src/agent/map-control.cc
@@ -79,7 +79,7 @@
 void MapControl::begin(const membership::ListedInstance& listed, const settings::GroupSettings& settings)
 {
     auto shape = shapeOf(settings);
-    auto initial = ExpertMap::even(shape);
+    auto initial = ExpertMap::contiguous(shape);
     if (!initial || listed.rank->value() >= shape.ranks) {
         m_problem = !initial ? initial.error().message : fmt::format("rank {} of the list is not below the {} ranks of the settings", listed.rank->value(), shape.ranks);
         return;
@@ -99,8 +99,8 @@
     m_groupSettings = settings;
     m_problem.clear();
     EngineOrders::Hooks engineHooks;
-    engineHooks.onAnswered = [this](const rank::EngineAnswered& answered) { m_member->onEngine(answered); };
-    engineHooks.onLost = [this] { m_member->onEngine(rank::EngineLost {}); };
+    engineHooks.onAnswered = [this](const rank::EngineResponded& answered) { m_member->onEngine(answered); };
+    engineHooks.onLost = [this] { m_member->onEngine(rank::EngineDisconnected {}); };
     m_engine = std::make_unique<EngineOrders>(m_ioContext, m_options.engine, std::move(engineHooks));
     learnAddresses();
     m_member->start();
--- a/src/agent/map-status.cc
+++ b/src/agent/map-status.cc
@@ -39,12 +39,12 @@
         { "phase", toString(coordinator.phase()) },
         { "fence", coordinator.fence().counter },
         { "wanted", nullptr },
-        { "pending", pointJson(coordinator.pending()) },
+        { "pending", pointJson(coordinator.pendingSwitch()) },
         { "silent_ranks", json::value_from(member.silentRanks(now)) },
         { "held_step", nullptr },
     };
-    if (coordinator.wanted())
-        out["wanted"] = coordinator.wanted()->value();
+    if (coordinator.targetMap())
+        out["wanted"] = coordinator.targetMap()->value();
     if (auto step = member.heldStep(now))
         out["held_step"] = step->value();
     return out;
@@ -58,7 +58,7 @@
         return json::serialize(json::object { { "group", nullptr }, { "problem", m_problem } });
     auto& options = m_member->options();
     auto& agent = m_member->agent();
-    json::object out { { "group", options.group.value() }, { "rank", options.rank.value() }, { "ranks", options.shape.ranks }, { "is_waiting", agent.isWaiting() }, { "problem", m_problem } };
+    json::object out { { "group", options.group.value() }, { "rank", options.rank.value() }, { "ranks", options.shape.ranks }, { "is_waiting", agent.isEngineWaiting() }, { "problem", m_problem } };
     out["engine"] = agent.status() ? json::value(statusJson(*agent.status())) : json::value(nullptr);
     out["coordinator"] = m_member->coordinator() ? json::value(coordinatorJson(*m_member)) : json::value(nullptr);
     return json::serialize(out);
--- a/src/agent/rank-daemon.cc
+++ b/src/agent/rank-daemon.cc
@@ -71,13 +71,13 @@
 {
     Coordinator::Options options;
     options.initial = MapVersion(0);
-    options.stagingRanks = ranks;
+    options.maxStagingRanks = ranks;
     options.leadSteps = leadSteps;
     options.maxLeadSteps = maxLeadSteps;
     options.leadTime = leadTime;
-    options.retryAfter = pauseBetweenOrders(ranks, milliseconds(25));
-    options.idleReadAfter = milliseconds(1000);
-    options.stagePollAfter = pauseBetweenOrders(ranks, milliseconds(20));
+    options.retryInterval = pauseBetweenOrders(ranks, milliseconds(25));
+    options.idleReadInterval = milliseconds(1000);
+    options.stagePollInterval = pauseBetweenOrders(ranks, milliseconds(20));
     return options;
 }
 
@@ -265,7 +265,7 @@
     options.checksFences = true;
     options.endpoint = { m_settings.group.address(), m_settings.group.port() };
     options.coordination = coordinationOf(m_view->ranks);
-    if (auto first = ExpertMap::inTurn(options.shape))
+    if (auto first = ExpertMap::roundRobin(options.shape))
         options.first = VersionedMap { options.coordination.initial, std::move(*first) };
     GroupMember::Hooks hooks;
     hooks.writeEngine = [this](const EngineOrder& order, const ExpertMap* map) {
@@ -366,9 +366,9 @@
     if (engine != m_engine || !m_member)
         co_return;
     if (status)
-        m_member->onEngine(rank::EngineAnswered { order.id, *status, FencingNumber {} });
+        m_member->onEngine(rank::EngineResponded { order.id, *status, FencingNumber {} });
     else
-        m_member->onEngine(rank::EngineLost {});
+        m_member->onEngine(rank::EngineDisconnected {});
 }
 
 /// Waits until the engine has loaded the weights of `version`, so that the coordinator hears of it at once and need not ask.
--- a/src/expertmap/coordinator.cc
+++ b/src/expertmap/coordinator.cc
@@ -17,11 +17,11 @@
 {
     if (options.incarnation.value() == 0)
         return Error { ErrorCode::InvalidArgument, "a coordinator needs an incarnation other than 0" };
-    if (options.ranks == 0 || options.stagingRanks == 0)
+    if (options.ranks == 0 || options.maxStagingRanks == 0)
         return Error { ErrorCode::InvalidArgument, "a coordinator needs one rank and one staging rank at least" };
     if (options.leadSteps == 0 || options.maxLeadSteps < options.leadSteps)
         return Error { ErrorCode::InvalidArgument, "the lead must be one step at least and not above its bound" };
-    if (options.retryAfter <= milliseconds(0) || options.idleReadAfter <= milliseconds(0) || options.stagePollAfter <= milliseconds(0))
+    if (options.retryInterval <= milliseconds(0) || options.idleReadInterval <= milliseconds(0) || options.stagePollInterval <= milliseconds(0))
         return Error { ErrorCode::InvalidArgument, "the times of a coordinator must be positive" };
     return Coordinator(options);
 }
@@ -38,14 +38,14 @@
     Effects effects;
     if (m_phase == CoordinatorPhase::SteppedDown)
         return effects;
-    if (auto* arrived = std::get_if<ReportArrived>(&event))
-        onReport(now, arrived->report, effects);
-    else if (auto* hello = std::get_if<HelloArrived>(&event))
+    if (auto* received = std::get_if<ReportReceived>(&event))
+        onReport(now, received->report, effects);
+    else if (auto* hello = std::get_if<HelloReceived>(&event))
         onHello(now, hello->hello, effects);
-    else if (auto* wish = std::get_if<MapWanted>(&event))
-        m_wanted = wish->version;
-    else if (std::holds_alternative<WishWithdrawn>(event))
-        m_wanted.reset();
+    else if (auto* request = std::get_if<MapChangeRequested>(&event))
+        m_targetMap = request->version;
+    else if (std::holds_alternative<MapChangeWithdrawn>(event))
+        m_targetMap.reset();
     if (m_phase != CoordinatorPhase::SteppedDown)
         advance(now, effects);
     return effects;
@@ -63,7 +63,7 @@
             effects.push_back(SteppedDown { report.promised });
             return;
         }
-        inquireAgain(report.promised);
+        restartInquiry(report.promised);
         return;
     }
     auto& view = m_ranks[report.rank.value()];
@@ -73,7 +73,7 @@
         return;
     view.round = report.round;
     view.status = report.status;
-    view.heardAt = now;
+    view.reportedAt = now;
     measureStep(now, report.status->entered);
 }
 
@@ -86,14 +86,14 @@
     send(now, hello.rank.value(), ReadStatus {}, effects);
 }
 
-void Coordinator::inquireAgain(FencingNumber newer)
+void Coordinator::restartInquiry(FencingNumber newer)
 {
     m_fence.counter = newer.counter + 1;
     for (auto& view : m_ranks)
         view = {};
 }
 
-std::vector<RankIndex> Coordinator::unheardRanks() const
+std::vector<RankIndex> Coordinator::ranksWithoutStatus() const
 {
     std::vector<RankIndex> ranks;
     for (std::uint32_t r = 0; r < m_ranks.size(); ++r) {
@@ -107,18 +107,18 @@
 {
     std::vector<RankIndex> ranks;
     for (std::uint32_t r = 0; r < m_ranks.size(); ++r) {
-        if (!m_ranks[r].status || m_ranks[r].heardAt < time)
+        if (!m_ranks[r].status || m_ranks[r].reportedAt < time)
             ranks.push_back(RankIndex(r));
     }
     return ranks;
 }
 
-bool Coordinator::heardAll() const
+bool Coordinator::hasAllStatuses() const
 {
     return std::all_of(m_ranks.begin(), m_ranks.end(), [](auto& view) { return view.status.has_value(); });
 }
 
-std::optional<SwitchPoint> Coordinator::pending() const
+std::optional<SwitchPoint> Coordinator::pendingSwitch() const
 {
     std::optional<SwitchPoint> point;
     for (auto& view : m_ranks) {
@@ -131,7 +131,7 @@
 bool Coordinator::isKnownArmed(RankIndex rank) const
 {
     auto& status = m_ranks[rank.value()].status;
-    auto point = pending();
+    auto point = pendingSwitch();
     return status && point && status->isArmedFor(*point);
 }
 
@@ -150,7 +150,7 @@
         if (view.status->isAdmitted && (!newest || view.status->entered > newest->entered))
             newest = &*view.status;
     }
-    return newest ? newest->current : m_wanted.value_or(m_options.initial);
+    return newest ? newest->current : m_targetMap.value_or(m_options.initial);
 }
 
 void Coordinator::send(TimePoint now, std::uint32_t rank, const Order& order, Effects& effects, std::optional<milliseconds> every)
@@ -159,7 +159,7 @@
     if (view.lastOrder == order && now < view.resendAt)
         return;
     view.lastOrder = order;
-    view.resendAt = now + every.value_or(m_options.retryAfter);
+    view.resendAt = now + every.value_or(m_options.retryInterval);
     RankOrder message { m_fence, ++m_round, RankIndex(rank), std::nullopt, order };
     if (!std::holds_alternative<ReadStatus>(order))
         message.engine = view.status->engine;
@@ -177,42 +177,42 @@
     // Failure: a coordinator died after some ranks were told to go and others not. Until its successor has heard what
     // each rank holds it cannot know the outcome, so it only asks. Each answer also binds that rank's agent to the
     // newer fencing number.
-    if (!heardAll()) {
+    if (!hasAllStatuses()) {
         m_phase = CoordinatorPhase::Inquiring;
-        for (auto rank : unheardRanks())
+        for (auto rank : ranksWithoutStatus())
             send(now, rank.value(), ReadStatus {}, effects);
         return;
     }
     m_hasLed = true;
-    if (auto point = pending()) {
-        m_point = point;
-        carryForward(now, *point, effects);
+    if (auto point = pendingSwitch()) {
+        m_switchPoint = point;
+        resolveSwitch(now, *point, effects);
         return;
     }
-    if (m_point)
+    if (m_switchPoint)
         finishChange(effects);
-    if (admitWaiting(now, effects))
+    if (admitEngines(now, effects))
         return;
-    m_waiting.clear();
+    m_unadmittedEngines.clear();
     // Once rank 0 may be armed, the switch point is seen through: a wish that changes meanwhile waits.
-    auto target = m_point ? std::optional(m_point->version) : m_wanted;
+    auto target = m_switchPoint ? std::optional(m_switchPoint->version) : m_targetMap;
     if (target && *target != groupMap()) {
-        startChange(now, *target, effects);
+        advanceChange(now, *target, effects);
         return;
     }
     m_phase = CoordinatorPhase::Idle;
     dropOldMaps(now, effects);
 }
 
-void Coordinator::carryForward(TimePoint now, const SwitchPoint& point, Effects& effects)
+void Coordinator::resolveSwitch(TimePoint now, const SwitchPoint& point, Effects& effects)
 {
-    auto anyRank = [this](auto&& test) { return std::any_of(m_ranks.begin(), m_ranks.end(), [&](auto& view) { return test(*view.status); }); };
-    if (anyRank([&](auto& status) { return status.hasTaken(point); })) {
+    auto anyRank = [this](auto&& predicate) { return std::any_of(m_ranks.begin(), m_ranks.end(), [&](auto& view) { return predicate(*view.status); }); };
+    if (anyRank([&](auto& status) { return status.isCommittedTo(point); })) {
         release(now, point, effects);
         return;
     }
     // A rank entered the step with the old map, so it was never armed for it, so no rank was ever told to go.
-    if (anyRank([&](auto& status) { return status.hasPassed(point); })) {
+    if (anyRank([&](auto& status) { return status.hasMissed(point); })) {
         cancel(now, point, effects);
         return;
     }
@@ -220,7 +220,7 @@
     if (allArmed)
         release(now, point, effects);
     else
-        armRest(now, point, effects);
+        armRemaining(now, point, effects);
 }
 
 void Coordinator::release(TimePoint now, const SwitchPoint& point, Effects& effects)
@@ -229,7 +229,7 @@
     for (std::uint32_t r = 0; r < m_ranks.size(); ++r) {
         auto& status = *m_ranks[r].status;
         if (!status.isAdmitted)
-            bringBack(now, r, point, effects);
+            readmit(now, r, point, effects);
         else if (status.isArmedFor(point) && !status.isReleased)
             send(now, r, Go { point }, effects);
         else
@@ -246,13 +246,13 @@
     }
 }
 
-void Coordinator::armRest(TimePoint now, const SwitchPoint& point, Effects& effects)
+void Coordinator::armRemaining(TimePoint now, const SwitchPoint& point, Effects& effects)
 {
     m_phase = CoordinatorPhase::Arming;
     for (std::uint32_t r = 0; r < m_ranks.size(); ++r) {
         auto& status = *m_ranks[r].status;
         if (!status.isAdmitted)
-            bringBack(now, r, point, effects);
+            readmit(now, r, point, effects);
         else if (status.isArmedFor(point))
             continue;
         // An engine that restarted after it had loaded the map loads it again; the group holds meanwhile.
@@ -263,7 +263,7 @@
     }
 }
 
-std::vector<Incarnation> Coordinator::waitingEngines() const
+std::vector<Incarnation> Coordinator::unadmittedEngines() const
 {
     std::vector<Incarnation> engines;
     for (auto& view : m_ranks) {
@@ -273,38 +273,38 @@
     return engines;
 }
 
-bool Coordinator::admitWaiting(TimePoint now, Effects& effects)
+bool Coordinator::admitEngines(TimePoint now, Effects& effects)
 {
-    auto engines = waitingEngines();
+    auto engines = unadmittedEngines();
     if (engines.empty())
         return false;
     m_phase = CoordinatorPhase::Admitting;
-    bool isNew = std::any_of(engines.begin(), engines.end(), [this](auto engine) { return std::find(m_waiting.begin(), m_waiting.end(), engine) == m_waiting.end(); });
-    m_waiting = std::move(engines);
+    bool isNew = std::any_of(engines.begin(), engines.end(), [this](auto engine) { return std::find(m_unadmittedEngines.begin(), m_unadmittedEngines.end(), engine) == m_unadmittedEngines.end(); });
+    m_unadmittedEngines = std::move(engines);
     // Failure: an engine restarts just as the others switch. What is known of them may be from before the switch, and
     // it would be admitted with the old map. So all ranks are read once more after its restart was seen.
     if (isNew) {
-        m_freshRound = m_round;
+        m_freshAfterRound = m_round;
         for (auto& view : m_ranks)
             view.lastOrder.reset();
     }
-    bool isFresh = std::all_of(m_ranks.begin(), m_ranks.end(), [this](auto& view) { return view.round > m_freshRound; });
+    bool isFresh = std::all_of(m_ranks.begin(), m_ranks.end(), [this](auto& view) { return view.round > m_freshAfterRound; });
     if (!isFresh) {
-        readAll(now, m_options.retryAfter, effects);
+        readAll(now, m_options.retryInterval, effects);
         return true;
     }
     // Failure: with no rank admitted, an order that an earlier coordinator left behind could admit one rank with
     // another map. Rank 0 goes first and alone; all others follow the map that its engine then shows.
-    bool isNoneAdmitted = m_waiting.size() == m_ranks.size();
-    std::uint32_t end = isNoneAdmitted ? 1 : static_cast<std::uint32_t>(m_ranks.size());
+    bool isNoRankAdmitted = m_unadmittedEngines.size() == m_ranks.size();
+    std::uint32_t end = isNoRankAdmitted ? 1 : static_cast<std::uint32_t>(m_ranks.size());
     for (std::uint32_t r = 0; r < end; ++r) {
         if (!m_ranks[r].status->isAdmitted)
-            bringBack(now, r, std::nullopt, effects);
+            readmit(now, r, std::nullopt, effects);
     }
     return true;
 }
 
-void Coordinator::bringBack(TimePoint now, std::uint32_t rank, const std::optional<SwitchPoint>& point, Effects& effects)
+void Coordinator::readmit(TimePoint now, std::uint32_t rank, const std::optional<SwitchPoint>& point, Effects& effects)
 {
     auto& status = *m_ranks[rank].status;
     auto version = groupMap();
@@ -320,50 +320,50 @@
 
 bool Coordinator::stage(TimePoint now, MapVersion version, Effects& effects)
 {
-    std::vector<std::uint32_t> others;
+    std::vector<std::uint32_t> otherRanks;
     std::uint32_t loading = 0;
     for (std::uint32_t r = 0; r < m_ranks.size(); ++r) {
-        if (m_ranks[r].status->hasStaged(version) || loading == m_options.stagingRanks) {
-            others.push_back(r);
+        if (m_ranks[r].status->hasStaged(version) || loading == m_options.maxStagingRanks) {
+            otherRanks.push_back(r);
             continue;
         }
-        send(now, r, StageMap { version }, effects, m_options.stagePollAfter);
+        send(now, r, StageMap { version }, effects, m_options.stagePollInterval);
         ++loading;
     }
     if (loading == 0)
         return true;
     // Failure: loading takes minutes, in which the other ranks would not be heard and would pass for silent.
-    for (auto r : others)
-        send(now, r, ReadStatus {}, effects, m_options.idleReadAfter);
+    for (auto r : otherRanks)
+        send(now, r, ReadStatus {}, effects, m_options.idleReadInterval);
     return false;
 }
 
-void Coordinator::startChange(TimePoint now, MapVersion version, Effects& effects)
+void Coordinator::advanceChange(TimePoint now, MapVersion version, Effects& effects)
 {
     m_phase = CoordinatorPhase::Staging;
     if (!stage(now, version, effects))
         return;
     m_phase = CoordinatorPhase::Arming;
-    if (!m_point)
-        m_point = SwitchPoint { version, StepNumber(newestStep().value() + leadSteps()) };
+    if (!m_switchPoint)
+        m_switchPoint = SwitchPoint { version, StepNumber(newestStep().value() + effectiveLeadSteps()) };
     // Failure: see "Rank 0 is armed first" in docs/design/expert-maps.md. A successor must find this switch point armed
     // at rank 0 whenever any rank could have been told to go.
-    send(now, 0, Arm { *m_point }, effects);
+    send(now, 0, Arm { *m_switchPoint }, effects);
 }
 
 void Coordinator::measureStep(TimePoint now, StepNumber newest)
 {
-    if (newest <= m_stepSeen || now < m_stepSeenAt + m_options.stepMeasuredOver)
+    if (newest <= m_measuredStep || now < m_measuredAt + m_options.minStepMeasurementTime)
         return;
-    if (m_stepSeenAt != TimePoint {})
-        m_stepTime = (now - m_stepSeenAt) / static_cast<Clock::rep>(newest.value() - m_stepSeen.value());
-    m_stepSeen = newest;
-    m_stepSeenAt = now;
+    if (m_measuredAt != TimePoint {})
+        m_stepTime = (now - m_measuredAt) / static_cast<Clock::rep>(newest.value() - m_measuredStep.value());
+    m_measuredStep = newest;
+    m_measuredAt = now;
 }
 
 /// Failure: a lead too short and the group waits at the switch until the last rank is armed; too long and it goes on with
 /// a map that no longer fits. Uneven steps are slow ones, so a lead counted in steps is longest when a change is due most.
-std::uint64_t Coordinator::leadSteps() const
+std::uint64_t Coordinator::effectiveLeadSteps() const
 {
     auto steps = m_options.leadSteps;
     if (m_options.leadTime > milliseconds(0) && m_stepTime && *m_stepTime > Clock::duration(0))
@@ -373,20 +373,20 @@
 
 void Coordinator::finishChange(Effects& effects)
 {
-    auto point = *m_point;
-    bool allTaken = std::all_of(m_ranks.begin(), m_ranks.end(), [&](auto& view) { return view.status->hasTaken(point); });
-    if (allTaken) {
+    auto point = *m_switchPoint;
+    bool allCommitted = std::all_of(m_ranks.begin(), m_ranks.end(), [&](auto& view) { return view.status->isCommittedTo(point); });
+    if (allCommitted) {
         effects.push_back(ChangeFinished { point });
         m_leadFactor = 1;
-        m_point.reset();
+        m_switchPoint.reset();
         return;
     }
-    bool isPassed = std::any_of(m_ranks.begin(), m_ranks.end(), [&](auto& view) { return view.status->hasPassed(point); });
-    if (!isPassed)
+    bool isMissed = std::any_of(m_ranks.begin(), m_ranks.end(), [&](auto& view) { return view.status->hasMissed(point); });
+    if (!isMissed)
         return;
     effects.push_back(ChangePostponed { point });
     m_leadFactor = std::min(m_leadFactor * 2, m_options.maxLeadSteps);
-    m_point.reset();
+    m_switchPoint.reset();
 }
 
 void Coordinator::dropOldMaps(TimePoint now, Effects& effects)
@@ -394,11 +394,11 @@
     auto version = groupMap();
     for (std::uint32_t r = 0; r < m_ranks.size(); ++r) {
         auto& staged = m_ranks[r].status->staged;
-        bool isSurplus = std::any_of(staged.begin(), staged.end(), [&](auto it) { return it != version; });
-        if (isSurplus)
+        bool hasObsoleteMap = std::any_of(staged.begin(), staged.end(), [&](auto it) { return it != version; });
+        if (hasObsoleteMap)
             send(now, r, DropMaps { version }, effects);
         else
-            send(now, r, ReadStatus {}, effects, m_options.idleReadAfter);
+            send(now, r, ReadStatus {}, effects, m_options.idleReadInterval);
     }
 }
 
--- a/src/expertmap/engine-json.cc
+++ b/src/expertmap/engine-json.cc
@@ -49,64 +49,64 @@
     void operator()(const Cancel& it) { out["point"] = pointJson(it.point); }
 };
 
-std::uint64_t number(const json::object& in, const char* name)
+std::uint64_t numberAt(const json::object& in, const char* name)
 {
     return in.at(name).to_number<std::uint64_t>();
 }
 
-MapVersion version(const json::object& in)
+MapVersion versionFrom(const json::object& in)
 {
-    return MapVersion(number(in, "map_version"));
+    return MapVersion(numberAt(in, "map_version"));
 }
 
-FencingNumber fence(const json::object& in)
+FencingNumber fenceFrom(const json::object& in)
 {
     auto& object = in.at("fencing").as_object();
-    return { number(object, "counter"), Incarnation(number(object, "holder")) };
+    return { numberAt(object, "counter"), Incarnation(numberAt(object, "holder")) };
 }
 
-std::optional<SwitchPoint> pointOrNone(const json::value& in)
+std::optional<SwitchPoint> optionalPointFrom(const json::value& in)
 {
     if (in.is_null())
         return std::nullopt;
     auto& object = in.as_object();
-    return SwitchPoint { version(object), StepNumber(number(object, "step")) };
+    return SwitchPoint { versionFrom(object), StepNumber(numberAt(object, "step")) };
 }
 
-SwitchPoint point(const json::object& in)
+SwitchPoint pointFrom(const json::object& in)
 {
     auto& object = in.at("point").as_object();
-    return { version(object), StepNumber(number(object, "step")) };
+    return { versionFrom(object), StepNumber(numberAt(object, "step")) };
 }
 
-Order order(const json::object& in)
+Order orderFrom(const json::object& in)
 {
     auto name = json::value_to<std::string>(in.at("order"));
     if (name == nameOf(ReadStatus {}))
         return ReadStatus {};
     if (name == nameOf(StageMap {}))
-        return StageMap { version(in) };
+        return StageMap { versionFrom(in) };
     if (name == nameOf(DropMaps {}))
-        return DropMaps { version(in) };
+        return DropMaps { versionFrom(in) };
     if (name == nameOf(Admit {}))
-        return Admit { version(in), pointOrNone(in.at("arm")) };
+        return Admit { versionFrom(in), optionalPointFrom(in.at("arm")) };
     if (name == nameOf(Arm {}))
-        return Arm { point(in) };
+        return Arm { pointFrom(in) };
     if (name == nameOf(Go {}))
-        return Go { point(in) };
+        return Go { pointFrom(in) };
     if (name == nameOf(Cancel {}))
-        return Cancel { point(in) };
+        return Cancel { pointFrom(in) };
     throw Exception({ ErrorCode::MalformedInput, fmt::format("no order is called '{}'", name) });
 }
 
-EngineStatus status(const json::object& in)
+EngineStatus statusFrom(const json::object& in)
 {
     EngineStatus status;
-    status.engine = Incarnation(number(in, "engine"));
+    status.engine = Incarnation(numberAt(in, "engine"));
     status.isAdmitted = in.at("is_admitted").as_bool();
-    status.current = version(in);
-    status.entered = StepNumber(number(in, "step"));
-    status.armed = pointOrNone(in.at("armed"));
+    status.current = versionFrom(in);
+    status.entered = StepNumber(numberAt(in, "step"));
+    status.armed = optionalPointFrom(in.at("armed"));
     status.isReleased = in.at("is_released").as_bool();
     auto& staged = in.at("staged").as_array();
     if (staged.size() > maxStagedMaps)
@@ -118,7 +118,7 @@
 
 /// Runs `read`, which may meet text that is no JSON or lacks a field.
 template <typename T, typename Read>
-Result<T> guarded(Read&& read)
+Result<T> catchMalformed(Read&& read)
 {
     try {
         return read();
@@ -140,9 +140,9 @@
     return json::serialize(out);
 }
 
-std::string toJson(const EngineAnswer& answer)
+std::string toJson(const EngineResponse& response)
 {
-    auto& status = answer.status;
+    auto& status = response.status;
     json::array staged;
     for (auto it : status.staged)
         staged.push_back(it.value());
@@ -154,26 +154,26 @@
         { "armed", pointJson(status.armed) },
         { "is_released", status.isReleased },
         { "staged", std::move(staged) },
-        { "fencing", fenceJson(answer.fence) },
+        { "fencing", fenceJson(response.fence) },
     };
     return json::serialize(out);
 }
 
 Result<EngineOrder> parseOrder(std::string_view text)
 {
-    return guarded<EngineOrder>([&] {
+    return catchMalformed<EngineOrder>([&] {
         auto value = json::parse(text);
         auto& object = value.as_object();
-        return EngineOrder { number(object, "id"), fence(object), order(object) };
+        return EngineOrder { numberAt(object, "id"), fenceFrom(object), orderFrom(object) };
     });
 }
 
-Result<EngineAnswer> parseAnswer(std::string_view text)
+Result<EngineResponse> parseResponse(std::string_view text)
 {
-    return guarded<EngineAnswer>([&] {
+    return catchMalformed<EngineResponse>([&] {
         auto value = json::parse(text);
         auto& object = value.as_object();
-        return EngineAnswer { status(object), fence(object) };
+        return EngineResponse { statusFrom(object), fenceFrom(object) };
     });
 }
 
--- a/src/expertmap/engine-json.h
+++ b/src/expertmap/engine-json.h
@@ -15,7 +15,7 @@
 inline constexpr const char* ordersPath = "/map/orders";
 
 /// An engine's answer to an order.
-struct EngineAnswer {
+struct EngineResponse {
     EngineStatus status;
     /// Highest fencing number the engine has seen; zero for engines that ignore them.
     FencingNumber fence;
@@ -23,10 +23,10 @@
 
 /// `map` is the content of the map that a `StageMap` names; unset in other orders.
 std::string toJson(const EngineOrder& order, const ExpertMap* map = nullptr);
-std::string toJson(const EngineAnswer& answer);
+std::string toJson(const EngineResponse& response);
 
 /// Fail with `MalformedInput` when a field is missing, of the wrong type or out of range.
 Result<EngineOrder> parseOrder(std::string_view text);
-Result<EngineAnswer> parseAnswer(std::string_view text);
+Result<EngineResponse> parseResponse(std::string_view text);
 
 } // namespace swiftloft::expertmap::engine_json
--- a/src/expertmap/expert-map.cc
+++ b/src/expertmap/expert-map.cc
@@ -20,7 +20,7 @@
 constexpr std::uint32_t maxExperts = 4096;
 constexpr std::uint32_t maxSlotsPerRank = 4096;
 
-bool isSane(const MapShape& shape)
+bool isValidShape(const MapShape& shape)
 {
     auto isWithin = [](std::uint32_t value, std::uint32_t bound) { return value > 0 && value <= bound; };
     return isWithin(shape.ranks, maxRanks) && isWithin(shape.layers, maxLayers) && isWithin(shape.experts, maxExperts)
@@ -28,7 +28,7 @@
 }
 
 /// The text of what is wrong with one layer; empty when nothing is.
-std::string faultOfLayer(const MapShape& shape, std::span<const ExpertIndex> slots, std::uint32_t layer)
+std::string layerError(const MapShape& shape, std::span<const ExpertIndex> slots, std::uint32_t layer)
 {
     std::vector<std::uint32_t> lastRank(shape.experts, shape.ranks);
     for (std::uint32_t n = 0; n < slots.size(); ++n) {
@@ -58,25 +58,25 @@
 
 Result<ExpertMap> ExpertMap::create(const MapShape& shape, std::vector<ExpertIndex> slots)
 {
-    if (!isSane(shape))
+    if (!isValidShape(shape))
         return invalid("a size of the expert map is zero or too large");
     if (slots.size() != static_cast<std::size_t>(shape.slotsPerLayer()) * shape.layers)
         return invalid(fmt::format("an expert map of this shape has {} slots, not {}", static_cast<std::size_t>(shape.slotsPerLayer()) * shape.layers, slots.size()));
     ExpertMap map(shape, std::move(slots));
     for (std::uint32_t layer = 0; layer < shape.layers; ++layer) {
-        auto fault = faultOfLayer(shape, map.layer(LayerIndex(layer)), layer);
-        if (!fault.empty())
-            return invalid(std::move(fault));
+        auto error = layerError(shape, map.layer(LayerIndex(layer)), layer);
+        if (!error.empty())
+            return invalid(std::move(error));
     }
     return map;
 }
 
-Result<ExpertMap> ExpertMap::even(const MapShape& shape)
+Result<ExpertMap> ExpertMap::contiguous(const MapShape& shape)
 {
-    if (!isSane(shape) || shape.experts > shape.slotsPerLayer())
+    if (!isValidShape(shape) || shape.experts > shape.slotsPerLayer())
         return invalid("the experts don't fit into the slots");
     std::vector<ExpertIndex> layer(shape.slotsPerLayer(), noExpert);
-    auto holds = [&](std::uint32_t rank, ExpertIndex expert) {
+    auto rankHolds = [&](std::uint32_t rank, ExpertIndex expert) {
         auto begin = layer.begin() + rank * shape.slotsPerRank;
         return std::find(begin, begin + shape.slotsPerRank, expert) != begin + shape.slotsPerRank;
     };
@@ -89,9 +89,9 @@
     for (std::uint32_t n = 0; n < layer.size(); ++n) {
         if (layer[n] != noExpert)
             continue;
-        for (std::uint32_t tries = 0; tries < shape.experts && layer[n] == noExpert; ++tries, ++next) {
+        for (std::uint32_t attempts = 0; attempts < shape.experts && layer[n] == noExpert; ++attempts, ++next) {
             ExpertIndex expert(next % shape.experts);
-            if (!holds(n / shape.slotsPerRank, expert))
+            if (!rankHolds(n / shape.slotsPerRank, expert))
                 layer[n] = expert;
         }
     }
@@ -102,16 +102,16 @@
     return create(shape, std::move(slots));
 }
 
-Result<ExpertMap> ExpertMap::inTurn(const MapShape& shape)
+Result<ExpertMap> ExpertMap::roundRobin(const MapShape& shape)
 {
-    if (!isSane(shape) || shape.experts > shape.slotsPerLayer())
+    if (!isValidShape(shape) || shape.experts > shape.slotsPerLayer())
         return invalid("the experts don't fit into the slots");
     std::vector<ExpertIndex> slots(static_cast<std::size_t>(shape.layers) * shape.slotsPerLayer(), noExpert);
     for (std::uint32_t layer = 0; layer < shape.layers; ++layer) {
         for (std::uint32_t expert = 0; expert < shape.experts; ++expert) {
             auto rank = expert % shape.ranks;
-            auto place = expert / shape.ranks;
-            slots[layer * shape.slotsPerLayer() + rank * shape.slotsPerRank + place] = ExpertIndex(expert);
+            auto slot = expert / shape.ranks;
+            slots[layer * shape.slotsPerLayer() + rank * shape.slotsPerRank + slot] = ExpertIndex(expert);
         }
     }
     return create(shape, std::move(slots));
--- a/src/expertmap/protocol.cc
+++ b/src/expertmap/protocol.cc
@@ -10,7 +10,7 @@
     return std::find(staged.begin(), staged.end(), version) != staged.end();
 }
 
-bool EngineStatus::hasTaken(const SwitchPoint& point) const
+bool EngineStatus::isCommittedTo(const SwitchPoint& point) const
 {
     if (!isAdmitted)
         return false;
@@ -19,7 +19,7 @@
     return entered >= point.step && current == point.version;
 }
 
-bool EngineStatus::hasPassed(const SwitchPoint& point) const
+bool EngineStatus::hasMissed(const SwitchPoint& point) const
 {
     return isAdmitted && armed != point && entered >= point.step && current != point.version;
 }
--- a/src/expertmap/rank-agent.cc
+++ b/src/expertmap/rank-agent.cc
@@ -10,7 +10,7 @@
 {
     if (options.incarnation.value() == 0)
         return Error { ErrorCode::InvalidArgument, "a rank agent needs an incarnation other than 0" };
-    if (options.engineTimeout <= milliseconds(0) || options.askAfter <= milliseconds(0))
+    if (options.engineTimeout <= milliseconds(0) || options.helloInterval <= milliseconds(0))
         return Error { ErrorCode::InvalidArgument, "the times of a rank agent must be positive" };
     return RankAgent(options);
 }
@@ -23,8 +23,8 @@
 Effects RankAgent::start(TimePoint now)
 {
     Effects effects;
-    write(now, ReadStatus {}, effects);
-    m_askAt = now + m_options.askAfter;
+    sendToEngine(now, ReadStatus {}, effects);
+    m_nextHelloAt = now + m_options.helloInterval;
     effects.push_back(SendHello { { m_options.rank, m_options.incarnation } });
     return effects;
 }
@@ -32,18 +32,18 @@
 Effects RankAgent::apply(TimePoint now, const Event& event)
 {
     Effects effects;
-    if (auto* arrived = std::get_if<OrderArrived>(&event))
-        onOrder(now, arrived->order, effects);
-    else if (auto* answer = std::get_if<EngineAnswered>(&event))
-        onAnswer(now, *answer, effects);
-    else if (std::holds_alternative<EngineLost>(event))
-        forgetEngine();
+    if (auto* received = std::get_if<OrderReceived>(&event))
+        onOrder(now, received->order, effects);
+    else if (auto* response = std::get_if<EngineResponded>(&event))
+        onEngineResponse(now, *response, effects);
+    else if (std::holds_alternative<EngineDisconnected>(event))
+        resetEngineState();
     else
         onTick(now, effects);
     return effects;
 }
 
-bool RankAgent::isWaiting() const
+bool RankAgent::isEngineWaiting() const
 {
     if (!m_status)
         return true;
@@ -63,32 +63,32 @@
     }
     m_promised = order.fence;
     // Failure: orders overtake each other on their way. Within one coordinator a higher round is newer.
-    bool isOlder = m_next && m_next->fence == order.fence && order.round < m_next->round;
+    bool isOlder = m_nextOrder && m_nextOrder->fence == order.fence && order.round < m_nextOrder->round;
     if (!isOlder)
-        m_next = order;
-    beginNext(now, effects);
+        m_nextOrder = order;
+    startNextOrder(now, effects);
 }
 
-void RankAgent::beginNext(TimePoint now, Effects& effects)
+void RankAgent::startNextOrder(TimePoint now, Effects& effects)
 {
-    if (m_isInFlight || !m_next)
+    if (m_isInFlight || !m_nextOrder)
         return;
-    m_current = std::exchange(m_next, std::nullopt);
+    m_currentOrder = std::exchange(m_nextOrder, std::nullopt);
     // Failure: this agent has just started, or its engine ignores fencing numbers and may have been ordered by an
     // earlier agent of this slot. What it remembers may be wrong, so it reads the engine before it orders anything.
-    bool readFirst = !m_options.engineChecksFences || !m_status;
-    m_isOrderWritten = !readFirst;
-    write(now, readFirst ? Order { ReadStatus {} } : m_current->order, effects);
+    bool mustReadFirst = !m_options.engineChecksFences || !m_status;
+    m_isOrderSent = !mustReadFirst;
+    sendToEngine(now, mustReadFirst ? Order { ReadStatus {} } : m_currentOrder->order, effects);
 }
 
-void RankAgent::write(TimePoint now, const Order& order, Effects& effects)
+void RankAgent::sendToEngine(TimePoint now, const Order& order, Effects& effects)
 {
     m_isInFlight = true;
     m_engineDeadline = now + m_options.engineTimeout;
-    effects.push_back(WriteEngine { { ++m_lastId, m_promised, order } });
+    effects.push_back(SendToEngine { { ++m_lastId, m_promised, order } });
 }
 
-bool RankAgent::stillFits(const RankOrder& order) const
+bool RankAgent::isStillValid(const RankOrder& order) const
 {
     if (std::holds_alternative<ReadStatus>(order.order))
         return false;
@@ -99,51 +99,51 @@
     return order.fence == m_promised;
 }
 
-void RankAgent::onAnswer(TimePoint now, const EngineAnswered& answer, Effects& effects)
+void RankAgent::onEngineResponse(TimePoint now, const EngineResponded& response, Effects& effects)
 {
     // Failure: an answer that was given up as late would be taken for that of the order now in flight.
-    if (!m_isInFlight || answer.id != m_lastId)
+    if (!m_isInFlight || response.id != m_lastId)
         return;
     m_isInFlight = false;
-    if (!m_status || m_status->engine != answer.status.engine || m_status->armed != answer.status.armed)
-        m_askAt = now + m_options.askAfter;
-    m_status = answer.status;
-    m_promised = std::max(m_promised, answer.fence);
-    if (m_current && !m_isOrderWritten && stillFits(*m_current)) {
-        m_isOrderWritten = true;
-        write(now, m_current->order, effects);
+    if (!m_status || m_status->engine != response.status.engine || m_status->armed != response.status.armed)
+        m_nextHelloAt = now + m_options.helloInterval;
+    m_status = response.status;
+    m_promised = std::max(m_promised, response.fence);
+    if (m_currentOrder && !m_isOrderSent && isStillValid(*m_currentOrder)) {
+        m_isOrderSent = true;
+        sendToEngine(now, m_currentOrder->order, effects);
         return;
     }
-    report(effects);
-    beginNext(now, effects);
+    sendReport(effects);
+    startNextOrder(now, effects);
 }
 
-void RankAgent::forgetEngine()
+void RankAgent::resetEngineState()
 {
     m_isInFlight = false;
     m_status.reset();
-    m_current.reset();
+    m_currentOrder.reset();
 }
 
-void RankAgent::report(Effects& effects)
+void RankAgent::sendReport(Effects& effects)
 {
-    if (!m_current)
+    if (!m_currentOrder)
         return;
-    effects.push_back(SendReport { m_current->fence.holder, { m_options.rank, m_options.incarnation, m_promised, m_current->round, m_status } });
-    m_current.reset();
+    effects.push_back(SendReport { m_currentOrder->fence.holder, { m_options.rank, m_options.incarnation, m_promised, m_currentOrder->round, m_status } });
+    m_currentOrder.reset();
 }
 
 void RankAgent::onTick(TimePoint now, Effects& effects)
 {
     if (m_isInFlight && now >= m_engineDeadline) {
         // The order may still be taken later; it is conditional, and the next one is preceded by a read.
-        forgetEngine();
+        resetEngineState();
     }
-    beginNext(now, effects);
+    startNextOrder(now, effects);
     // Failure: the coordinator died between the first and the last `Go`. This rank holds rather than guess, and asks
     // whoever runs rank 0 now.
-    if (isWaiting() && now >= m_askAt) {
-        m_askAt = now + m_options.askAfter;
+    if (isEngineWaiting() && now >= m_nextHelloAt) {
+        m_nextHelloAt = now + m_options.helloInterval;
         effects.push_back(SendHello { { m_options.rank, m_options.incarnation } });
     }
 }
--- a/src/expertmap/wire.cc
+++ b/src/expertmap/wire.cc
@@ -12,15 +12,15 @@
     std::string text;
 };
 
-void require(bool isGood, const char* text)
+void require(bool isValid, const char* text)
 {
-    if (!isGood)
+    if (!isValid)
         throw Malformed { text };
 }
 
 /// Runs `read`, which may meet bad values or bytes that Cap'n Proto refuses.
 template <typename T, typename Read>
-Result<T> guarded(Read&& read)
+Result<T> catchMalformed(Read&& read)
 {
     try {
         return read();
@@ -176,17 +176,17 @@
     out.setAgent(hello.agent.value());
 }
 
-void build(schema::ExpertMap::Builder out, const VersionedMap& named)
+void build(schema::ExpertMap::Builder out, const VersionedMap& versioned)
 {
-    auto& shape = named.map.shape();
+    auto& shape = versioned.map.shape();
     out.setRanks(shape.ranks);
     out.setLayers(shape.layers);
     out.setExperts(shape.experts);
     out.setSlotsPerRank(shape.slotsPerRank);
-    out.setVersion(named.version.value());
-    auto slots = out.initSlots(static_cast<unsigned>(named.map.slots().size()));
+    out.setVersion(versioned.version.value());
+    auto slots = out.initSlots(static_cast<unsigned>(versioned.map.slots().size()));
     for (unsigned n = 0; n < slots.size(); ++n)
-        slots.set(n, static_cast<std::uint16_t>(named.map.slots()[n].value()));
+        slots.set(n, static_cast<std::uint16_t>(versioned.map.slots()[n].value()));
 }
 
 void build(schema::RankLoads::Builder out, const RankLoads& loads)
@@ -206,7 +206,7 @@
 
 Result<RankOrder> parse(schema::RankOrder::Reader in)
 {
-    return guarded<RankOrder>([&] {
+    return catchMalformed<RankOrder>([&] {
         RankOrder order;
         order.fence = parseFence(in.getFence());
         parseIncarnation(in.getFence().getHolder());
@@ -223,7 +223,7 @@
 
 Result<RankReport> parse(schema::RankReport::Reader in)
 {
-    return guarded<RankReport>([&] {
+    return catchMalformed<RankReport>([&] {
         RankReport report;
         report.rank = parseRank(in.getRank());
         report.agent = parseIncarnation(in.getAgent());
@@ -237,7 +237,7 @@
 
 Result<RankHello> parse(schema::RankHello::Reader in)
 {
-    return guarded<RankHello>([&] { return RankHello { parseRank(in.getRank()), parseIncarnation(in.getAgent()) }; });
+    return catchMalformed<RankHello>([&] { return RankHello { parseRank(in.getRank()), parseIncarnation(in.getAgent()) }; });
 }
 
 Result<VersionedMap> parse(schema::ExpertMap::Reader in)
@@ -247,13 +247,13 @@
         MapShape shape;
         std::vector<ExpertIndex> slots;
     };
-    auto content = guarded<Content>([&] {
-        Content read { MapVersion(in.getVersion()), { in.getRanks(), in.getLayers(), in.getExperts(), in.getSlotsPerRank() }, {} };
+    auto content = catchMalformed<Content>([&] {
+        Content parsed { MapVersion(in.getVersion()), { in.getRanks(), in.getLayers(), in.getExperts(), in.getSlotsPerRank() }, {} };
         auto sent = in.getSlots();
-        read.slots.reserve(sent.size());
+        parsed.slots.reserve(sent.size());
         for (auto expert : sent)
-            read.slots.emplace_back(expert);
-        return read;
+            parsed.slots.emplace_back(expert);
+        return parsed;
     });
     if (!content)
         return content.error();
@@ -265,7 +265,7 @@
 
 Result<RankLoads> parse(schema::RankLoads::Reader in)
 {
-    return guarded<RankLoads>([&] {
+    return catchMalformed<RankLoads>([&] {
         RankLoads loads { parseRank(in.getRank()), parseIncarnation(in.getEngine()), StepNumber(in.getStep()), MapVersion(in.getMap()), {}, {}, in.getPace() };
         for (auto expert : in.getHeld())
             loads.held.emplace_back(expert);
--- a/standin/rank-group.cc
+++ b/standin/rank-group.cc
@@ -166,7 +166,7 @@
     auto order = expertmap::engine_json::parseOrder(exchange.request().body()).value();
     auto now = steady_clock::now();
     bool isTaken = m_maps.take(now, order);
-    auto answer = expertmap::engine_json::toJson(expertmap::engine_json::EngineAnswer { m_maps.status(now), m_maps.fence() });
+    auto answer = expertmap::engine_json::toJson(expertmap::engine_json::EngineResponse { m_maps.status(now), m_maps.fence() });
     co_await exchange.replyJson(isTaken ? HttpStatus::ok : HttpStatus::conflict, answer);
 }
 
--- a/test/expertmap-agent_test.cc
+++ b/test/expertmap-agent_test.cc
@@ -9,24 +9,24 @@
 
 namespace {
 
-constexpr milliseconds patience { 2000 };
-constexpr milliseconds quiet { 100 };
+constexpr milliseconds deliveryTimeout { 2000 };
+constexpr milliseconds quietPeriod { 100 };
 
 const SwitchPoint point { MapVersion(0xfedcba9876543210), StepNumber(77) };
 
 /// Two agents' transports on one loop.
-class Pair {
+class TransportPair {
 public:
-    Pair(const std::string& firstGroup, const std::string& secondGroup)
+    TransportPair(const std::string& firstGroup, const std::string& secondGroup)
         : m_first(make(firstGroup, m_atFirst))
         , m_second(make(secondGroup, m_atSecond))
     {
     }
-    ~Pair()
+    ~TransportPair()
     {
         m_first->stop();
         m_second->stop();
-        m_context.run_for(quiet);
+        m_context.run_for(quietPeriod);
     }
 
     void send(const GroupMessage& message) { m_first->send(m_second->localEndpoint(), message); }
@@ -70,7 +70,7 @@
 TEST_CASE("Engine orders: a status reads back from its JSON")
 {
     EngineStatus status { Incarnation(3), true, MapVersion(5), StepNumber(70), point, true, { MapVersion(5), point.version } };
-    auto read = engine_json::parseAnswer(engine_json::toJson(engine_json::EngineAnswer { status, { 8, Incarnation(2) } })).value();
+    auto read = engine_json::parseResponse(engine_json::toJson(engine_json::EngineResponse { status, { 8, Incarnation(2) } })).value();
     CHECK(read.status == status);
     CHECK(read.fence == FencingNumber { 8, Incarnation(2) });
 }
@@ -78,27 +78,27 @@
 TEST_CASE("Engine orders: what is no answer of an engine is refused")
 {
     auto text = GENERATE("", "not json", "[]", "{}", R"({"engine":"x"})");
-    CHECK_FALSE(engine_json::parseAnswer(text).has_value());
+    CHECK_FALSE(engine_json::parseResponse(text).has_value());
     CHECK_FALSE(engine_json::parseOrder(text).has_value());
 }
 
 TEST_CASE("Group transport: orders and maps arrive as they were sent")
 {
-    Pair pair("ranks", "ranks");
+    TransportPair pair("ranks", "ranks");
     SECTION("an order")
     {
         RankOrder order { { 2, Incarnation(11) }, 5, RankIndex(3), Incarnation(12), Arm { point } };
         pair.send(order);
-        auto got = pair.received(patience);
+        auto got = pair.received(deliveryTimeout);
         REQUIRE(got.size() == 1);
         CHECK(std::get<RankOrder>(got[0]).order == order.order);
     }
     SECTION("the largest map of today's plans")
     {
-        auto map = ExpertMap::even({ 64, 60, 64, 2 }).value();
+        auto map = ExpertMap::contiguous({ 64, 60, 64, 2 }).value();
         VersionedMap named { MapVersion(41), map };
         pair.send(named);
-        auto got = pair.received(patience);
+        auto got = pair.received(deliveryTimeout);
         REQUIRE(got.size() == 1);
         CHECK(std::get<VersionedMap>(got[0]) == named);
     }
@@ -108,7 +108,7 @@
 // address and name a rank that the new group has too; taken, they would arm an engine for a map it doesn't run.
 TEST_CASE("Group transport: a message of another group is dropped")
 {
-    Pair pair("old", "new");
+    TransportPair pair("old", "new");
     pair.send(RankOrder { { 2, Incarnation(11) }, 5, RankIndex(0), Incarnation(12), Arm { point } });
-    CHECK(pair.received(quiet).empty());
+    CHECK(pair.received(quietPeriod).empty());
 }
--- a/test/expertmap-coordinator_test.cc
+++ b/test/expertmap-coordinator_test.cc
@@ -20,7 +20,7 @@
     {
         Coordinator::Options options { Incarnation(9), ranks, first, ranks };
         options.leadTime = leadTime;
-        options.stagePollAfter = milliseconds(20);
+        options.stagePollInterval = milliseconds(20);
         coordinator = Coordinator::create(options).value();
         for (std::uint32_t r = 0; r < ranks; ++r) {
             statuses[r].engine = Incarnation(50 + r);
@@ -37,34 +37,34 @@
         std::vector<RankOrder> given;
         for (int n = 0; n < times; ++n) {
             m_now += milliseconds(20);
-            take(coordinator.apply(m_now, coordination::Ticked {}), given);
+            execute(coordinator.apply(m_now, coordination::Ticked {}), given);
         }
         return given;
     }
     /// Lets time pass in which nothing is asked.
-    void pass(milliseconds time) { m_now += time; }
-    void want(MapVersion version)
+    void advanceTime(milliseconds time) { m_now += time; }
+    void requestMap(MapVersion version)
     {
         std::vector<RankOrder> given;
-        take(coordinator.apply(m_now, coordination::MapWanted { version }), given);
+        execute(coordinator.apply(m_now, coordination::MapChangeRequested { version }), given);
     }
 
     void hello(std::uint32_t rank)
     {
         std::vector<RankOrder> given;
-        take(coordinator.apply(m_now, coordination::HelloArrived { { RankIndex(rank), Incarnation(70 + rank) } }), given);
+        execute(coordinator.apply(m_now, coordination::HelloReceived { { RankIndex(rank), Incarnation(70 + rank) } }), given);
     }
 
     Coordinator coordinator { Coordinator::create({ Incarnation(9), ranks, first, ranks }).value() };
     EngineStatus statuses[ranks];
     std::vector<RankOrder> reads;
     /// A rank that answers nothing.
-    std::optional<std::uint32_t> silent;
+    std::optional<std::uint32_t> silentRank;
 
     TimePoint now() const { return m_now; }
 
 private:
-    void take(const coordination::Effects& effects, std::vector<RankOrder>& given)
+    void execute(const coordination::Effects& effects, std::vector<RankOrder>& given)
     {
         for (auto& effect : effects) {
             auto* sent = std::get_if<coordination::SendOrder>(&effect);
@@ -73,16 +73,16 @@
             auto& order = sent->order;
             (std::holds_alternative<ReadStatus>(order.order) ? reads : given).push_back(order);
             auto r = order.rank.value();
-            if (silent == r)
+            if (silentRank == r)
                 continue;
-            take(coordinator.apply(m_now, coordination::ReportArrived { { order.rank, Incarnation(70 + r), order.fence, order.round, statuses[r] } }), given);
+            execute(coordinator.apply(m_now, coordination::ReportReceived { { order.rank, Incarnation(70 + r), order.fence, order.round, statuses[r] } }), given);
         }
     }
 
     TimePoint m_now;
 };
 
-std::vector<std::uint32_t> ranksToldTo(const char* what, const std::vector<RankOrder>& orders)
+std::vector<std::uint32_t> ranksOrdered(const char* what, const std::vector<RankOrder>& orders)
 {
     std::vector<std::uint32_t> found;
     for (auto& it : orders) {
@@ -104,14 +104,14 @@
     driver.tick(2);
     for (auto& it : driver.statuses)
         it.staged.push_back(second);
-    driver.want(second);
+    driver.requestMap(second);
     auto orders = driver.tick(60);
-    CHECK(ranksToldTo("arm", orders) == std::vector<std::uint32_t> { 0 });
+    CHECK(ranksOrdered("arm", orders) == std::vector<std::uint32_t> { 0 });
     auto* arm = std::get_if<Arm>(&orders.back().order);
     REQUIRE(arm);
     driver.statuses[0].armed = arm->point;
     orders = driver.tick(3);
-    CHECK(ranksToldTo("arm", orders) == std::vector<std::uint32_t> { 0, 1, 2 });
+    CHECK(ranksOrdered("arm", orders) == std::vector<std::uint32_t> { 0, 1, 2 });
 }
 
 TEST_CASE("Coordinator admits rank 0 alone when no rank is admitted")
@@ -122,13 +122,13 @@
     for (auto& it : driver.statuses)
         it.isAdmitted = false;
     auto orders = driver.tick(5);
-    CHECK(ranksToldTo("admit", orders) == std::vector<std::uint32_t> { 0 });
+    CHECK(ranksOrdered("admit", orders) == std::vector<std::uint32_t> { 0 });
     driver.statuses[0].isAdmitted = true;
     driver.statuses[0].current = third;
     for (auto& it : driver.statuses)
         it.staged.push_back(third);
     orders = driver.tick(60);
-    CHECK(ranksToldTo("admit", orders) == std::vector<std::uint32_t> { 0, 1, 2 });
+    CHECK(ranksOrdered("admit", orders) == std::vector<std::uint32_t> { 0, 1, 2 });
     REQUIRE(std::holds_alternative<Admit>(orders.back().order));
     CHECK(std::get<Admit>(orders.back().order).version == third);
 }
@@ -146,7 +146,7 @@
     driver.statuses[2].current = second;
     driver.hello(1);
     auto orders = driver.tick(5);
-    REQUIRE(ranksToldTo("admit", orders) == std::vector<std::uint32_t> { 1 });
+    REQUIRE(ranksOrdered("admit", orders) == std::vector<std::uint32_t> { 1 });
     CHECK(std::get<Admit>(orders.back().order).version == second);
 }
 
@@ -158,14 +158,14 @@
     driver.tick(2);
     for (auto& it : driver.statuses)
         it.staged.push_back(second);
-    driver.want(second);
+    driver.requestMap(second);
     auto orders = driver.tick(60);
     REQUIRE(std::holds_alternative<Arm>(orders.back().order));
-    driver.want(third);
+    driver.requestMap(third);
     orders = driver.tick(10);
-    CHECK(ranksToldTo("stage", orders).empty());
-    CHECK(ranksToldTo("drop", orders).empty());
-    REQUIRE(ranksToldTo("arm", orders) == std::vector<std::uint32_t> { 0 });
+    CHECK(ranksOrdered("stage", orders).empty());
+    CHECK(ranksOrdered("drop", orders).empty());
+    REQUIRE(ranksOrdered("arm", orders) == std::vector<std::uint32_t> { 0 });
     CHECK(std::get<Arm>(orders.back().order).point.version == second);
 }
 
@@ -176,10 +176,10 @@
     driver.tick(2);
     auto before = driver.now();
     CHECK(driver.coordinator.silentRanks(before).empty());
-    driver.silent = 2;
+    driver.silentRank = 2;
     driver.tick(120);
     CHECK(driver.coordinator.silentRanks(before + milliseconds(1)) == std::vector<RankIndex> { RankIndex(2) });
-    CHECK(driver.coordinator.unheardRanks().empty());
+    CHECK(driver.coordinator.ranksWithoutStatus().empty());
 }
 
 TEST_CASE("Coordinator hears all ranks while some load")
@@ -189,7 +189,7 @@
     Driver driver;
     driver.tick(2);
     driver.statuses[2].staged.push_back(second);
-    driver.want(second);
+    driver.requestMap(second);
     driver.tick(250);
     CHECK(driver.coordinator.phase() == CoordinatorPhase::Staging);
     CHECK(driver.coordinator.silentRanks(driver.now() - seconds(3)).empty());
@@ -202,12 +202,12 @@
     auto agent = RankAgent::create({ RankIndex(1), Incarnation(5) }).value();
     TimePoint now;
     agent.start(now);
-    agent.apply(now, rank::EngineAnswered { 1, { Incarnation(50), true, first }, {} });
+    agent.apply(now, rank::EngineResponded { 1, { Incarnation(50), true, first }, {} });
     FencingNumber newer { 2, Incarnation(9) };
     FencingNumber older { 1, Incarnation(8) };
-    agent.apply(now, rank::OrderArrived { { newer, 1, RankIndex(1), std::nullopt, ReadStatus {} } });
-    agent.apply(now, rank::EngineAnswered { 2, { Incarnation(50), true, first }, {} });
-    auto effects = agent.apply(now, rank::OrderArrived { { older, 7, RankIndex(1), Incarnation(50), StageMap { second } } });
+    agent.apply(now, rank::OrderReceived { { newer, 1, RankIndex(1), std::nullopt, ReadStatus {} } });
+    agent.apply(now, rank::EngineResponded { 2, { Incarnation(50), true, first }, {} });
+    auto effects = agent.apply(now, rank::OrderReceived { { older, 7, RankIndex(1), Incarnation(50), StageMap { second } } });
     REQUIRE(effects.size() == 2);
     CHECK(std::holds_alternative<rank::OrderRefused>(effects[0]));
     CHECK(std::get<rank::SendReport>(effects[1]).report.promised == newer);
@@ -222,7 +222,7 @@
     TimePoint now;
     agent.start(now);
     EngineStatus status { Incarnation(50), true, first, StepNumber(3), SwitchPoint { second, StepNumber(4) } };
-    agent.apply(now, rank::EngineAnswered { 1, status, {} });
+    agent.apply(now, rank::EngineResponded { 1, status, {} });
     CHECK(agent.apply(now + milliseconds(10), rank::Ticked {}).empty());
     auto effects = agent.apply(now + milliseconds(30), rank::Ticked {});
     REQUIRE(effects.size() == 1);
@@ -232,11 +232,11 @@
 namespace {
 
 /// Steps from the newest one to the switch that is armed, in a group whose steps take `stepTime`.
-std::uint64_t leadAt(milliseconds stepTime)
+std::uint64_t leadStepsFor(milliseconds stepTime)
 {
     Driver driver(milliseconds(85));
     auto begin = driver.now();
-    driver.want(second);
+    driver.requestMap(second);
     // Ranks load the map for a second, and are read meanwhile.
     for (int n = 0; n < 100; ++n) {
         StepNumber newest(10 + static_cast<std::uint64_t>((driver.now() - begin) / stepTime));
@@ -254,7 +254,7 @@
 }
 
 /// The switch step of the first rank that is armed.
-StepNumber armedAt(Driver& driver)
+StepNumber firstArmedStep(Driver& driver)
 {
     for (int n = 0; n < 20; ++n) {
         for (auto& order : driver.tick()) {
@@ -271,9 +271,9 @@
 // times as long as well, just when each moment with the old map costs most.
 TEST_CASE("Coordinator: the lead is as many steps as arming all ranks takes")
 {
-    CHECK(leadAt(milliseconds(20)) == 5);
-    CHECK(leadAt(milliseconds(40)) == 3);
-    CHECK(leadAt(milliseconds(200)) == 1);
+    CHECK(leadStepsFor(milliseconds(20)) == 5);
+    CHECK(leadStepsFor(milliseconds(40)) == 3);
+    CHECK(leadStepsFor(milliseconds(200)) == 1);
 }
 
 // Two ranks are read a millisecond apart, one before and one behind the begin of a step of 80 ms. A step passes for that short;
@@ -288,18 +288,18 @@
     };
     // Ranks are read every other step, the second one just after the step that the first one showed.
     for (std::uint64_t step = 100; step < 130; step += 2) {
-        driver.pass(milliseconds(159));
+        driver.advanceTime(milliseconds(159));
         enter(step);
         driver.hello(0);
-        driver.pass(milliseconds(1));
+        driver.advanceTime(milliseconds(1));
         enter(step + 1);
         driver.hello(1);
     }
-    driver.want(second);
+    driver.requestMap(second);
     for (auto& status : driver.statuses)
         status.staged.push_back(second);
     auto newest = driver.statuses[0].entered;
-    auto point = armedAt(driver);
+    auto point = firstArmedStep(driver);
     INFO("switch at step " << point.value() << ", step " << newest.value() << " has begun");
     CHECK(point.value() > newest.value());
     CHECK(point.value() <= newest.value() + 3);
--- a/test/expertmap-failures_test.cc
+++ b/test/expertmap-failures_test.cc
@@ -1,4 +1,4 @@
-#include "test/expertmap-rig.h"
+#include "test/expertmap-fake-group.h"
 
 #include <catch2/catch.hpp>
 
@@ -7,23 +7,23 @@
 
 namespace {
 
-constexpr MapVersion first = rig::Group::initial;
+constexpr MapVersion first = rig::FakeGroup::initial;
 constexpr MapVersion second { 200 };
 constexpr MapVersion third { 300 };
 
-rig::Group steppingGroup(const rig::Settings& settings = {})
+rig::FakeGroup makeSteppingGroup(const rig::Settings& settings = {})
 {
-    rig::Group group(settings);
+    rig::FakeGroup group(settings);
     REQUIRE(group.runUntil([&] { return group.allRun(first) && group.completedSteps() > 5; }, 400));
     return group;
 }
 
-bool reach(rig::Group& group, CoordinatorPhase phase)
+bool runUntilPhase(rig::FakeGroup& group, CoordinatorPhase phase)
 {
     return group.runUntil([&] { return group.coordinator()->phase() == phase; }, 400);
 }
 
-std::size_t ranksWith(const rig::Group& group, MapVersion version)
+std::size_t countRanksRunning(const rig::FakeGroup& group, MapVersion version)
 {
     std::size_t n = 0;
     for (std::uint32_t r = 0; r < group.ranks(); ++r)
@@ -31,7 +31,7 @@
     return n;
 }
 
-bool isAnyHeld(const rig::Group& group)
+bool isAnyRankHeld(const rig::FakeGroup& group)
 {
     for (std::uint32_t r = 0; r < group.ranks(); ++r) {
         auto& status = group.engine(r).status;
@@ -41,7 +41,7 @@
     return false;
 }
 
-void checkSettles(rig::Group& group, MapVersion version, int bound = 600)
+void checkConverges(rig::FakeGroup& group, MapVersion version, int bound = 600)
 {
     CHECK(group.runUntil([&] { return group.allRun(version); }, bound));
     auto steps = group.completedSteps();
@@ -63,32 +63,32 @@
     // Callers of a group see it stop for good, or see nonsense. The coordinator dies after one rank was told to go and
     // has entered the switch step with the new map; the others hold. Its successor knows nothing of the change: it has
     // to ask, and must not take the change back.
-    auto group = steppingGroup();
-    group.want(second);
-    REQUIRE(reach(group, CoordinatorPhase::Confirming));
+    auto group = makeSteppingGroup();
+    group.requestMap(second);
+    REQUIRE(runUntilPhase(group, CoordinatorPhase::Confirming));
     for (std::uint32_t r = 1; r < group.ranks(); ++r)
         group.killAgent(r);
-    REQUIRE(group.runUntil([&] { return ranksWith(group, second) > 0; }, 400));
-    group.withdraw();
+    REQUIRE(group.runUntil([&] { return countRanksRunning(group, second) > 0; }, 400));
+    group.withdrawRequest();
     group.killAgent(0);
     group.run(30);
-    REQUIRE(isAnyHeld(group));
+    REQUIRE(isAnyRankHeld(group));
     for (std::uint32_t r = 0; r < group.ranks(); ++r)
         group.startAgent(r);
-    checkSettles(group, second);
+    checkConverges(group, second);
 }
 
 TEST_CASE("Coordinator killed when all ranks are armed: its successor goes forward")
 {
     // A group is held at the switch step and nobody has been told to go. An order to go of the dead coordinator may
     // still lie in a socket, so taking the change back would let one rank go on with the new map alone.
-    auto group = steppingGroup();
-    group.want(second);
-    REQUIRE(reach(group, CoordinatorPhase::Confirming));
-    group.withdraw();
+    auto group = makeSteppingGroup();
+    group.requestMap(second);
+    REQUIRE(runUntilPhase(group, CoordinatorPhase::Confirming));
+    group.withdrawRequest();
     group.killAgent(0);
     group.startAgent(0);
-    checkSettles(group, second);
+    checkConverges(group, second);
 }
 
 TEST_CASE("Coordinator frozen and woken after its replacement: it steps down and disturbs nothing")
@@ -97,9 +97,9 @@
     // successor has finished, and wants a third map. Its fencing number is older, so no rank follows it.
     for (bool checksFences : { false, true }) {
         CAPTURE(checksFences);
-        auto group = steppingGroup({ 4, checksFences });
-        group.want(second);
-        REQUIRE(reach(group, CoordinatorPhase::Arming));
+        auto group = makeSteppingGroup({ 4, checksFences });
+        group.requestMap(second);
+        REQUIRE(runUntilPhase(group, CoordinatorPhase::Arming));
         auto* old = group.coordinator();
         group.freeze(0);
         group.run(10);
@@ -108,7 +108,7 @@
         group.wakeAll();
         group.run(100);
         CHECK(old->phase() == CoordinatorPhase::SteppedDown);
-        checkSettles(group, second);
+        checkConverges(group, second);
     }
 }
 
@@ -118,12 +118,12 @@
     // to an engine that does not check who gives it. The switch point lies ahead; every rank must take it or none.
     for (std::uint32_t rank : { 0u, 3u }) {
         CAPTURE(rank);
-        auto group = steppingGroup();
-        group.want(second);
-        REQUIRE(reach(group, CoordinatorPhase::Arming));
+        auto group = makeSteppingGroup();
+        group.requestMap(second);
+        REQUIRE(runUntilPhase(group, CoordinatorPhase::Arming));
         SwitchPoint point { second, StepNumber(group.completedSteps() + 5) };
         group.writeToEngine(rank, orderFrom(1, Arm { point }));
-        checkSettles(group, second);
+        checkConverges(group, second);
     }
 }
 
@@ -131,14 +131,14 @@
 {
     // A frozen agent wakes and writes an order of a change that has long been finished or taken back. The engine
     // ignores fencing numbers. The order names its switch point, and the engine is not armed for that one.
-    auto group = steppingGroup();
+    auto group = makeSteppingGroup();
     SwitchPoint old { third, StepNumber(3) };
     group.writeToEngine(1, orderFrom(1, Go { old }));
-    group.want(second);
-    REQUIRE(group.runUntil([&] { return isAnyHeld(group); }, 400));
+    group.requestMap(second);
+    REQUIRE(group.runUntil([&] { return isAnyRankHeld(group); }, 400));
     group.writeToEngine(0, orderFrom(1, Go { old }));
     group.writeToEngine(0, orderFrom(1, Cancel { old }));
-    checkSettles(group, second);
+    checkConverges(group, second);
 }
 
 TEST_CASE("Engine restarted while the group holds: it comes back armed")
@@ -147,11 +147,11 @@
     // was first started with. If it stepped with that one, the others would go on with the new map beside it.
     for (bool hasOldMap : { false, true }) {
         CAPTURE(hasOldMap);
-        auto group = steppingGroup();
-        group.want(second);
-        REQUIRE(group.runUntil([&] { return ranksWith(group, second) > 0; }, 400));
+        auto group = makeSteppingGroup();
+        group.requestMap(second);
+        REQUIRE(group.runUntil([&] { return countRanksRunning(group, second) > 0; }, 400));
         group.restartEngine(2, hasOldMap ? std::optional(first) : std::nullopt);
-        checkSettles(group, second);
+        checkConverges(group, second);
     }
 }
 
@@ -159,28 +159,28 @@
 {
     // After a power cut all engines start empty. An order of the coordinator before it admits rank 0 with another map
     // than the one that is wanted now. Were ranks admitted all at once, two maps would run side by side.
-    auto group = steppingGroup();
-    group.want(second);
+    auto group = makeSteppingGroup();
+    group.requestMap(second);
     REQUIRE(group.runUntil([&] { return group.allRun(second); }, 600));
     for (std::uint32_t r = 0; r < group.ranks(); ++r)
         group.restartEngine(r, first);
     group.writeToEngine(0, orderFrom(1, Admit { first, std::nullopt }));
-    checkSettles(group, second);
+    checkConverges(group, second);
 }
 
 TEST_CASE("Weight store down: the group goes on stepping with the old map and changes when it can")
 {
     // Drafts must not stall while the weight store is away. Staging runs beside the steps and nothing is armed before
     // every rank has the map, so an outage of any length costs no step.
-    auto group = steppingGroup();
+    auto group = makeSteppingGroup();
     group.setStoreUp(false);
-    group.want(second);
+    group.requestMap(second);
     auto held = group.heldTurns();
     group.run(300);
     CHECK(group.coordinator()->phase() == CoordinatorPhase::Staging);
     CHECK(group.heldTurns() == held);
     group.setStoreUp(true);
-    checkSettles(group, second);
+    checkConverges(group, second);
     CHECK(group.heldTurns() == held);
 }
 
@@ -188,19 +188,19 @@
 {
     // An operator changes the weights while a change is under way. Before any rank is armed the old map stays; later
     // the group first finishes and then follows the newer wish. No rank is left holding.
-    auto group = steppingGroup();
-    group.want(second);
-    REQUIRE(reach(group, CoordinatorPhase::Staging));
+    auto group = makeSteppingGroup();
+    group.requestMap(second);
+    REQUIRE(runUntilPhase(group, CoordinatorPhase::Staging));
     group.run(10);
-    group.withdraw();
+    group.withdrawRequest();
     group.run(200);
     CHECK(group.finished().empty());
-    checkSettles(group, first);
+    checkConverges(group, first);
 
-    group.want(second);
-    REQUIRE(group.runUntil([&] { return isAnyHeld(group); }, 400));
-    group.want(third);
-    checkSettles(group, third);
+    group.requestMap(second);
+    REQUIRE(group.runUntil([&] { return isAnyRankHeld(group); }, 400));
+    group.requestMap(third);
+    checkConverges(group, third);
     REQUIRE(group.finished().size() == 2);
     CHECK(group.finished()[0].version == second);
 }
@@ -209,11 +209,11 @@
 {
     // A group hangs at a step after a map change was begun. Messages took longer than the lead, so some rank entered the
     // switch step with the old map while rank 0 was armed and holds it.
-    auto group = steppingGroup({ 4, false, 20, 9, { 60, 0, 0 } });
-    group.want(second);
+    auto group = makeSteppingGroup({ 4, false, 20, 9, { 60, 0, 0 } });
+    group.requestMap(second);
     group.run(800);
     group.setFaults({});
-    checkSettles(group, second, 2000);
+    checkConverges(group, second, 2000);
 }
 
 TEST_CASE("Order for an earlier life of the engine: the agent does not pass it on")
@@ -223,14 +223,14 @@
     TimePoint now;
     agent.start(now);
     EngineStatus status { Incarnation(50), true, first };
-    agent.apply(now, rank::EngineAnswered { 1, status, {} });
-    agent.apply(now, rank::EngineLost {});
+    agent.apply(now, rank::EngineResponded { 1, status, {} });
+    agent.apply(now, rank::EngineDisconnected {});
     FencingNumber fence { 1, Incarnation(9) };
-    auto effects = agent.apply(now, rank::OrderArrived { { fence, 1, RankIndex(1), Incarnation(50), Arm { { second, StepNumber(9) } } } });
+    auto effects = agent.apply(now, rank::OrderReceived { { fence, 1, RankIndex(1), Incarnation(50), Arm { { second, StepNumber(9) } } } });
     REQUIRE(effects.size() == 1);
-    CHECK(std::holds_alternative<ReadStatus>(std::get<rank::WriteEngine>(effects[0]).order.order));
+    CHECK(std::holds_alternative<ReadStatus>(std::get<rank::SendToEngine>(effects[0]).order.order));
     status.engine = Incarnation(51);
-    effects = agent.apply(now, rank::EngineAnswered { 2, status, {} });
+    effects = agent.apply(now, rank::EngineResponded { 2, status, {} });
     REQUIRE(effects.size() == 1);
     CHECK(std::get<rank::SendReport>(effects[0]).report.status == status);
 }
@@ -244,8 +244,8 @@
     agent.start(now);
     now += milliseconds(60);
     agent.apply(now, rank::Ticked {});
-    agent.apply(now, rank::OrderArrived { { { 1, Incarnation(9) }, 1, RankIndex(1), std::nullopt, ReadStatus {} } });
-    CHECK(agent.apply(now, rank::EngineAnswered { 1, {}, {} }).empty());
+    agent.apply(now, rank::OrderReceived { { { 1, Incarnation(9) }, 1, RankIndex(1), std::nullopt, ReadStatus {} } });
+    CHECK(agent.apply(now, rank::EngineResponded { 1, {}, {} }).empty());
     CHECK_FALSE(agent.status());
 }
 
--- a/test/expertmap-fake-engine.h
+++ b/test/expertmap-fake-engine.h
@@ -45,12 +45,12 @@
 
     void drop(MapVersion keep)
     {
-        auto isSurplus = [&](MapVersion it) {
+        auto isObsolete = [&](MapVersion it) {
             bool isUsed = (status.isAdmitted && it == status.current) || (status.armed && it == status.armed->version);
             return !isUsed && it != keep;
         };
-        std::erase_if(status.staged, isSurplus);
-        std::erase_if(loading, [&](auto& it) { return isSurplus(it.first); });
+        std::erase_if(status.staged, isObsolete);
+        std::erase_if(loading, [&](auto& it) { return isObsolete(it.first); });
     }
 
     void admit(const Admit& order)
--- a/test/expertmap-rig.h
+++ b/test/expertmap-fake-group.h
@@ -27,7 +27,7 @@
 
 /// One agent process. A frozen one keeps its inbox and its unwritten engine orders, and carries on when it wakes,
 /// replaced or not.
-struct Process {
+struct AgentProcess {
     Incarnation incarnation;
     std::uint32_t slot { 0 };
     RankAgent agent;
@@ -51,15 +51,15 @@
     MessageFaults faults;
 };
 
-class Group {
+class FakeGroup {
 public:
-    explicit Group(const Settings& settings)
+    explicit FakeGroup(const Settings& settings)
         : m_settings(settings)
         , m_random(settings.seed)
     {
         m_engines.resize(settings.ranks);
         for (std::uint32_t r = 0; r < settings.ranks; ++r) {
-            m_engines[r].status.engine = fresh();
+            m_engines[r].status.engine = randomIncarnation();
             m_engines[r].checksFences = settings.checksFences;
         }
         m_slots.resize(settings.ranks);
@@ -78,16 +78,16 @@
     }
     void startAgent(std::uint32_t slot)
     {
-        auto incarnation = fresh();
+        auto incarnation = randomIncarnation();
         auto agent = RankAgent::create({ RankIndex(slot), incarnation, m_settings.checksFences, milliseconds(50), milliseconds(25) }).value();
-        auto process = std::make_shared<Process>(Process { incarnation, slot, agent, std::nullopt, ProcessState::Running, m_engines[slot].status.engine });
+        auto process = std::make_shared<AgentProcess>(AgentProcess { incarnation, slot, agent, std::nullopt, ProcessState::Running, m_engines[slot].status.engine });
         if (slot == 0)
             process->coordinator = Coordinator::create({ incarnation, m_settings.ranks, initial, 2, 32, 1024, milliseconds(20), milliseconds(200), milliseconds(20) }).value();
         m_slots[slot] = process;
-        m_all.push_back(process);
-        carryOut(process, process->agent.start(now()));
-        if (m_wanted && slot == 0)
-            want(*m_wanted);
+        m_processes.push_back(process);
+        execute(process, process->agent.start(now()));
+        if (m_requestedMap && slot == 0)
+            requestMap(*m_requestedMap);
     }
     void freeze(std::uint32_t slot)
     {
@@ -102,7 +102,7 @@
     }
     void wakeAll()
     {
-        for (auto& process : m_all) {
+        for (auto& process : m_processes) {
             if (process->state != ProcessState::Frozen)
                 continue;
             process->state = ProcessState::Running;
@@ -113,19 +113,19 @@
     {
         auto& engine = m_engines[r];
         engine.status = {};
-        engine.status.engine = fresh();
+        engine.status.engine = randomIncarnation();
         engine.loading.clear();
         engine.isUp = true;
         if (oldMap) {
             engine.status.staged.push_back(*oldMap);
             engine.status.current = *oldMap;
         }
-        m_hasEntered.erase(r);
+        m_enteredRanks.erase(r);
         // What a life of an engine did of an unfinished step goes with it (see "What the platform must give" in the
         // design note); the new life enters the step again.
-        m_mapsOfStep[m_completed + 1].erase(r);
-        for (std::size_t n = 0; n < m_all.size(); ++n) {
-            auto process = m_all[n];
+        m_mapsByStep[m_completed + 1].erase(r);
+        for (std::size_t n = 0; n < m_processes.size(); ++n) {
+            auto process = m_processes[n];
             if (process->slot == r && process->state == ProcessState::Running)
                 reconnect(process);
         }
@@ -134,15 +134,15 @@
     void setStoreUp(bool isUp) { m_isStoreUp = isUp; }
     void setFaults(const MessageFaults& faults) { m_settings.faults = faults; }
 
-    void want(MapVersion version)
+    void requestMap(MapVersion version)
     {
-        m_wanted = version;
-        tellCoordinator(coordination::MapWanted { version });
+        m_requestedMap = version;
+        applyToCoordinator(coordination::MapChangeRequested { version });
     }
-    void withdraw()
+    void withdrawRequest()
     {
-        m_wanted.reset();
-        tellCoordinator(coordination::WishWithdrawn {});
+        m_requestedMap.reset();
+        applyToCoordinator(coordination::MapChangeWithdrawn {});
     }
 
     /// One step time: messages, ticks, then every engine that may enters the step.
@@ -185,7 +185,7 @@
     /// The first step whose ranks used more than one map; 0 if none did.
     std::uint64_t mixedStep() const
     {
-        for (auto& step : m_mapsOfStep) {
+        for (auto& step : m_mapsByStep) {
             auto isOther = [&](auto& it) { return it.second != step.second.begin()->second; };
             if (std::any_of(step.second.begin(), step.second.end(), isOther))
                 return step.first;
@@ -201,15 +201,15 @@
         std::uint64_t at { 0 };
         /// Rank whose slot it goes to, or the process if set.
         std::uint32_t slot { 0 };
-        std::shared_ptr<Process> process;
-        std::variant<RankOrder, RankReport, RankHello, EngineOrder, rank::EngineAnswered> body;
+        std::shared_ptr<AgentProcess> process;
+        std::variant<RankOrder, RankReport, RankHello, EngineOrder, rank::EngineResponded> body;
         Incarnation engine;
     };
 
-    Incarnation fresh() { return Incarnation((m_random() | 1) & 0xffffffff); }
+    Incarnation randomIncarnation() { return Incarnation((m_random() | 1) & 0xffffffff); }
     TimePoint now() const { return TimePoint(milliseconds(6 * m_turn)); }
 
-    void post(const Message& message, bool isLocal)
+    void sendMessage(const Message& message, bool isLocal)
     {
         auto& faults = m_settings.faults;
         std::uniform_real_distribution<double> chance(0, 1);
@@ -223,39 +223,39 @@
         }
     }
 
-    void reconnect(const std::shared_ptr<Process>& process)
+    void reconnect(const std::shared_ptr<AgentProcess>& process)
     {
         auto engine = m_engines[process->slot].status.engine;
         if (process->engine == engine)
             return;
         process->engine = engine;
-        carryOut(process, process->agent.apply(now(), rank::EngineLost {}));
+        execute(process, process->agent.apply(now(), rank::EngineDisconnected {}));
     }
 
-    void tellCoordinator(const coordination::Event& event)
+    void applyToCoordinator(const coordination::Event& event)
     {
         if (m_slots[0] && m_slots[0]->state == ProcessState::Running)
-            carryOut(m_slots[0], m_slots[0]->coordinator->apply(now(), event));
+            execute(m_slots[0], m_slots[0]->coordinator->apply(now(), event));
     }
 
-    void carryOut(const std::shared_ptr<Process>& process, const rank::Effects& effects)
+    void execute(const std::shared_ptr<AgentProcess>& process, const rank::Effects& effects)
     {
         for (auto& effect : effects) {
-            if (auto* it = std::get_if<rank::WriteEngine>(&effect))
-                post({ 0, process->slot, process, it->order, process->engine }, true);
+            if (auto* it = std::get_if<rank::SendToEngine>(&effect))
+                sendMessage({ 0, process->slot, process, it->order, process->engine }, true);
             else if (auto* it = std::get_if<rank::SendReport>(&effect))
-                post({ 0, 0, processOf(it->to), it->report, {} }, process->slot == 0);
+                sendMessage({ 0, 0, findProcess(it->to), it->report, {} }, process->slot == 0);
             else if (auto* it = std::get_if<rank::SendHello>(&effect))
-                post({ 0, 0, nullptr, it->hello, {} }, process->slot == 0);
+                sendMessage({ 0, 0, nullptr, it->hello, {} }, process->slot == 0);
         }
     }
 
-    void carryOut(const std::shared_ptr<Process>& process, const coordination::Effects& effects)
+    void execute(const std::shared_ptr<AgentProcess>& process, const coordination::Effects& effects)
     {
         for (auto& effect : effects) {
             if (auto* it = std::get_if<coordination::SendOrder>(&effect)) {
                 ++m_ordersSent;
-                post({ 0, it->order.rank.value(), nullptr, it->order, {} }, it->order.rank.value() == 0);
+                sendMessage({ 0, it->order.rank.value(), nullptr, it->order, {} }, it->order.rank.value() == 0);
             } else if (auto* it = std::get_if<coordination::ChangeFinished>(&effect))
                 m_finished.push_back(it->point);
             else if (std::holds_alternative<coordination::SteppedDown>(effect) && process == m_slots[0])
@@ -263,9 +263,9 @@
         }
     }
 
-    std::shared_ptr<Process> processOf(Incarnation incarnation)
+    std::shared_ptr<AgentProcess> findProcess(Incarnation incarnation)
     {
-        for (auto& process : m_all) {
+        for (auto& process : m_processes) {
             if (process->incarnation == incarnation)
                 return process;
         }
@@ -287,7 +287,7 @@
         }
     }
 
-    void keepForLater(Message& message)
+    void redeliverNextTurn(Message& message)
     {
         message.at = m_turn + 1;
         m_messages.push_back(message);
@@ -297,7 +297,7 @@
     {
         if (auto* it = std::get_if<EngineOrder>(&message.body)) {
             if (message.process->state == ProcessState::Frozen) {
-                keepForLater(message);
+                redeliverNextTurn(message);
                 return;
             }
             auto& engine = m_engines[message.slot];
@@ -305,7 +305,7 @@
             if (!engine.isUp || engine.status.engine != message.engine)
                 return;
             engine.apply(*it, m_settings.loadTurns);
-            post({ 0, message.slot, message.process, rank::EngineAnswered { it->id, engine.status, engine.highest }, {} }, true);
+            sendMessage({ 0, message.slot, message.process, rank::EngineResponded { it->id, engine.status, engine.highest }, {} }, true);
             return;
         }
         auto process = message.process ? message.process : m_slots[message.slot];
@@ -313,30 +313,30 @@
             return;
         if (process->state == ProcessState::Frozen) {
             message.process = process;
-            keepForLater(message);
+            redeliverNextTurn(message);
             return;
         }
         if (auto* it = std::get_if<RankOrder>(&message.body))
-            carryOut(process, process->agent.apply(now(), rank::OrderArrived { *it }));
-        else if (auto* it = std::get_if<rank::EngineAnswered>(&message.body))
-            carryOut(process, process->agent.apply(now(), *it));
+            execute(process, process->agent.apply(now(), rank::OrderReceived { *it }));
+        else if (auto* it = std::get_if<rank::EngineResponded>(&message.body))
+            execute(process, process->agent.apply(now(), *it));
         else if (!process->coordinator)
             return;
         else if (auto* it = std::get_if<RankReport>(&message.body))
-            carryOut(process, process->coordinator->apply(now(), coordination::ReportArrived { *it }));
+            execute(process, process->coordinator->apply(now(), coordination::ReportReceived { *it }));
         else if (auto* it = std::get_if<RankHello>(&message.body))
-            carryOut(process, process->coordinator->apply(now(), coordination::HelloArrived { *it }));
+            execute(process, process->coordinator->apply(now(), coordination::HelloReceived { *it }));
     }
 
     void tick()
     {
-        for (std::size_t n = 0; n < m_all.size(); ++n) {
-            auto process = m_all[n];
+        for (std::size_t n = 0; n < m_processes.size(); ++n) {
+            auto process = m_processes[n];
             if (process->state != ProcessState::Running)
                 continue;
-            carryOut(process, process->agent.apply(now(), rank::Ticked {}));
+            execute(process, process->agent.apply(now(), rank::Ticked {}));
             if (process->coordinator)
-                carryOut(process, process->coordinator->apply(now(), coordination::Ticked {}));
+                execute(process, process->coordinator->apply(now(), coordination::Ticked {}));
         }
     }
 
@@ -344,31 +344,31 @@
     {
         StepNumber next(m_completed + 1);
         for (std::uint32_t r = 0; r < m_engines.size(); ++r) {
-            if (m_hasEntered.contains(r) || !m_engines[r].enter(next))
+            if (m_enteredRanks.contains(r) || !m_engines[r].enter(next))
                 continue;
-            m_hasEntered.insert(r);
-            m_mapsOfStep[next.value()][r] = m_engines[r].status.current;
+            m_enteredRanks.insert(r);
+            m_mapsByStep[next.value()][r] = m_engines[r].status.current;
         }
-        if (m_hasEntered.size() < m_engines.size()) {
+        if (m_enteredRanks.size() < m_engines.size()) {
             ++m_heldTurns;
             return;
         }
-        m_hasEntered.clear();
+        m_enteredRanks.clear();
         ++m_completed;
     }
 
     Settings m_settings;
     std::mt19937_64 m_random;
     std::vector<FakeEngine> m_engines;
-    std::vector<std::shared_ptr<Process>> m_slots;
+    std::vector<std::shared_ptr<AgentProcess>> m_slots;
     /// Every process there ever was, also killed, frozen and replaced ones.
-    std::vector<std::shared_ptr<Process>> m_all;
+    std::vector<std::shared_ptr<AgentProcess>> m_processes;
     std::vector<Message> m_messages;
     /// For each step, the map each rank entered it with.
-    std::map<std::uint64_t, std::map<std::uint32_t, MapVersion>> m_mapsOfStep;
-    std::set<std::uint32_t> m_hasEntered;
+    std::map<std::uint64_t, std::map<std::uint32_t, MapVersion>> m_mapsByStep;
+    std::set<std::uint32_t> m_enteredRanks;
     std::vector<SwitchPoint> m_finished;
-    std::optional<MapVersion> m_wanted;
+    std::optional<MapVersion> m_requestedMap;
     std::uint64_t m_turn { 0 };
     std::uint64_t m_completed { 0 };
     std::uint64_t m_heldTurns { 0 };
--- a/test/expertmap-planner_test.cc
+++ b/test/expertmap-planner_test.cc
@@ -35,7 +35,7 @@
 
 std::map<std::string, Figures> replayAll(const Trace& trace)
 {
-    auto initial = ExpertMap::even(trace.shape).value();
+    auto initial = ExpertMap::contiguous(trace.shape).value();
     std::map<std::string, Figures> runs;
     for (auto& policy : allPolicies(initial))
         runs.emplace(policy.name, replay::replay(trace, initial, policy, {}));
@@ -53,7 +53,7 @@
 
 Planner plannerThatKnows(const Planner::Options& options, const std::vector<double>& loads)
 {
-    auto planner = Planner::create(options, ExpertMap::even(smallShape).value()).value();
+    auto planner = Planner::create(options, ExpertMap::contiguous(smallShape).value()).value();
     for (int n = 1; n <= 12; ++n)
         REQUIRE_FALSE(planner.observe(minute(5 * n), loads).has_value());
     return planner;
@@ -95,7 +95,7 @@
     CHECK(replicasOf(*plan.map, 0) > before);
     CHECK(plan.gain > 0);
     CHECK(plan.bytes == Bytes(plan.moves.size() * 44'000'000));
-    CHECK(expertsMoved(ExpertMap::even(smallShape).value(), *plan.map) <= plan.moves.size());
+    CHECK(expertsMoved(ExpertMap::contiguous(smallShape).value(), *plan.map) <= plan.moves.size());
 }
 
 TEST_CASE("Planner moves nothing in quiet hours, also over midnight")
@@ -124,7 +124,7 @@
 
 TEST_CASE("Planner refuses options and reports that can't be right")
 {
-    auto map = ExpertMap::even(smallShape).value();
+    auto map = ExpertMap::contiguous(smallShape).value();
     Planner::Options options;
     options.skewWeight = -1;
     CHECK(Planner::create(options, map).error().code == ErrorCode::InvalidArgument);
@@ -157,7 +157,7 @@
 
     auto trace = generate(TraceKind::Noise, smallShape, 60, 3);
     trace.speedChanges.push_back({ 0, 2, 0.6 });
-    auto initial = ExpertMap::even(smallShape).value();
+    auto initial = ExpertMap::contiguous(smallShape).value();
     auto blind = replay::replay(trace, initial, staticPolicy(initial), {});
     trace.speedChanges.clear();
     auto even = replay::replay(trace, initial, staticPolicy(initial), {});
--- a/test/expertmap-protocol_test.cc
+++ b/test/expertmap-protocol_test.cc
@@ -1,4 +1,4 @@
-#include "test/expertmap-rig.h"
+#include "test/expertmap-fake-group.h"
 
 #include <catch2/catch.hpp>
 #include <fmt/format.h>
@@ -8,19 +8,19 @@
 
 namespace {
 
-constexpr MapVersion first = rig::Group::initial;
+constexpr MapVersion first = rig::FakeGroup::initial;
 constexpr MapVersion second { 200 };
 
 /// A group that has been admitted and steps with the first map.
-rig::Group steppingGroup(const rig::Settings& settings = {})
+rig::FakeGroup makeSteppingGroup(const rig::Settings& settings = {})
 {
-    rig::Group group(settings);
+    rig::FakeGroup group(settings);
     REQUIRE(group.runUntil([&] { return group.allRun(first) && group.completedSteps() > 5; }, 400));
     return group;
 }
 
 /// The check of every test here: no step mixed maps, and after the faults the group steps and runs `version`.
-void checkSettles(rig::Group& group, MapVersion version, int bound = 600)
+void checkConverges(rig::FakeGroup& group, MapVersion version, int bound = 600)
 {
     CHECK(group.runUntil([&] { return group.allRun(version); }, bound));
     auto steps = group.completedSteps();
@@ -33,10 +33,10 @@
 
 TEST_CASE("Map change: without faults no step waits")
 {
-    auto group = steppingGroup();
+    auto group = makeSteppingGroup();
     auto held = group.heldTurns();
-    group.want(second);
-    checkSettles(group, second);
+    group.requestMap(second);
+    checkConverges(group, second);
     CHECK(group.heldTurns() == held);
     REQUIRE(group.finished().size() == 1);
 }
@@ -56,7 +56,7 @@
 constexpr Fault faults[] = { Fault::KillAgent, Fault::FreezeAndWake, Fault::FreezeReplaceAndWake, Fault::RestartEngineWithoutMap,
     Fault::RestartEngineWithOldMap, Fault::RestartInstance, Fault::StoreDown };
 
-void begin(rig::Group& group, Fault fault, std::uint32_t rank)
+void beginFault(rig::FakeGroup& group, Fault fault, std::uint32_t rank)
 {
     switch (fault) {
     case Fault::KillAgent:
@@ -83,7 +83,7 @@
 }
 
 /// The slot gets its agent back, and what was stopped runs again.
-void end(rig::Group& group, Fault fault, std::uint32_t rank)
+void endFault(rig::FakeGroup& group, Fault fault, std::uint32_t rank)
 {
     if (fault == Fault::FreezeReplaceAndWake)
         group.replace(rank);
@@ -94,7 +94,7 @@
 }
 
 /// Seeds tried of the sweep over two faults; each is some 300 turns of a group.
-constexpr int doubleFaults = 2000;
+constexpr int doubleFaultRuns = 2000;
 
 struct Scenario {
     Fault fault { Fault::KillAgent };
@@ -107,23 +107,23 @@
 
 struct Outcome {
     std::uint64_t mixedStep { 0 };
-    bool hasSettled { false };
-    bool stepsAgain { false };
+    bool hasConverged { false };
+    bool hasResumedStepping { false };
     std::uint64_t heldTurns { 0 };
 };
 
-Outcome play(const rig::Settings& settings, const std::vector<Scenario>& scenarios)
+Outcome runScenarios(const rig::Settings& settings, const std::vector<Scenario>& scenarios)
 {
-    rig::Group group(settings);
+    rig::FakeGroup group(settings);
     group.runUntil([&] { return group.allRun(first) && group.completedSteps() > 5; }, 600);
     auto heldBefore = group.heldTurns();
-    group.want(second);
+    group.requestMap(second);
     for (int turn = 0; turn < 300; ++turn) {
         for (auto& it : scenarios) {
             if (turn == it.at)
-                begin(group, it.fault, it.rank);
+                beginFault(group, it.fault, it.rank);
             if (turn == it.at + it.length)
-                end(group, it.fault, it.rank);
+                endFault(group, it.fault, it.rank);
             if (turn == it.at + it.length + it.wakeAfter)
                 group.wakeAll();
         }
@@ -132,11 +132,11 @@
     group.setFaults({});
     group.wakeAll();
     Outcome outcome;
-    outcome.hasSettled = group.runUntil([&] { return group.allRun(second); }, 1500);
+    outcome.hasConverged = group.runUntil([&] { return group.allRun(second); }, 1500);
     outcome.heldTurns = group.heldTurns() - heldBefore;
     auto steps = group.completedSteps();
     group.run(50);
-    outcome.stepsAgain = group.completedSteps() >= steps + 40;
+    outcome.hasResumedStepping = group.completedSteps() >= steps + 40;
     outcome.mixedStep = group.mixedStep();
     return outcome;
 }
@@ -144,8 +144,8 @@
 void checkOutcome(const Outcome& outcome)
 {
     CHECK(outcome.mixedStep == 0);
-    CHECK(outcome.hasSettled);
-    CHECK(outcome.stepsAgain);
+    CHECK(outcome.hasConverged);
+    CHECK(outcome.hasResumedStepping);
 }
 
 } // namespace
@@ -161,7 +161,7 @@
                 for (int at = 0; at < 110; at += 2) {
                     rig::Settings settings { 4, checksFences, 20, static_cast<std::uint64_t>(at) * 7 + 1, { 3, 0.05, 0.1 } };
                     CAPTURE(checksFences, static_cast<int>(fault), rank, at);
-                    checkOutcome(play(settings, { { fault, rank, at, 30, 25 } }));
+                    checkOutcome(runScenarios(settings, { { fault, rank, at, 30, 25 } }));
                 }
             }
         }
@@ -174,7 +174,7 @@
     // not, and old processes of both slots wake up late and write what they had decided long ago.
     std::mt19937_64 random(2026);
     auto draw = [&](int low, int high) { return std::uniform_int_distribution<int>(low, high)(random); };
-    for (int n = 0; n < doubleFaults; ++n) {
+    for (int n = 0; n < doubleFaultRuns; ++n) {
         rig::Settings settings { static_cast<std::uint32_t>(draw(2, 5)), n % 2 == 0, draw(5, 30), random(), { draw(0, 4), 0.1, 0.2 } };
         std::vector<Scenario> scenarios;
         scenarios.reserve(2);
@@ -182,7 +182,7 @@
             scenarios.push_back({ faults[draw(0, std::size(faults) - 1)], static_cast<std::uint32_t>(draw(0, static_cast<int>(settings.ranks) - 1)), draw(0, 110), draw(1, 60), draw(0, 60) });
         auto text = [](auto& it) { return fmt::format("fault {} rank {} at {} length {} wake {}", static_cast<int>(it.fault), it.rank, it.at, it.length, it.wakeAfter); };
         CAPTURE(n, settings.checksFences, settings.ranks, text(scenarios[0]), text(scenarios[1]));
-        checkOutcome(play(settings, scenarios));
+        checkOutcome(runScenarios(settings, scenarios));
     }
 }
 
@@ -192,14 +192,14 @@
     "instance restarted", "weight store down" };
 
 /// Turns in which the group stood, for each turn of a change at which the fault began.
-std::vector<std::uint64_t> pausesOf(Fault fault, std::uint32_t rank, int length)
+std::vector<std::uint64_t> sortedHeldTurns(Fault fault, std::uint32_t rank, int length)
 {
-    std::vector<std::uint64_t> pauses;
-    pauses.reserve(110);
+    std::vector<std::uint64_t> heldTurns;
+    heldTurns.reserve(110);
     for (int at = 0; at < 110; ++at)
-        pauses.push_back(play({ 4, false, 20, static_cast<std::uint64_t>(at) + 1, {} }, { { fault, rank, at, length, 25 } }).heldTurns);
-    std::sort(pauses.begin(), pauses.end());
-    return pauses;
+        heldTurns.push_back(runScenarios({ 4, false, 20, static_cast<std::uint64_t>(at) + 1, {} }, { { fault, rank, at, length, 25 } }).heldTurns);
+    std::sort(heldTurns.begin(), heldTurns.end());
+    return heldTurns;
 }
 
 } // namespace
@@ -210,17 +210,17 @@
     // a restarted engine stops it until it has loaded the current map, perhaps the next one too, and is admitted.
     constexpr int outage = 30;
     constexpr std::uint64_t loadTurns = 20;
-    constexpr std::uint64_t toResolve = 2 * loadTurns + 40;
+    constexpr std::uint64_t maxResolveTurns = 2 * loadTurns + 40;
     for (auto fault : faults) {
         for (std::uint32_t rank : { 0u, 2u }) {
-            auto pauses = pausesOf(fault, rank, outage);
+            auto heldTurns = sortedHeldTurns(fault, rank, outage);
             CAPTURE(faultNames[static_cast<int>(fault)], rank);
             bool isEngineUp = fault == Fault::KillAgent || fault == Fault::FreezeAndWake || fault == Fault::FreezeReplaceAndWake;
-            CHECK(pauses.back() <= outage + toResolve);
+            CHECK(heldTurns.back() <= outage + maxResolveTurns);
             if (isEngineUp)
-                CHECK(pauses[pauses.size() / 2] == 0);
+                CHECK(heldTurns[heldTurns.size() / 2] == 0);
             if (fault == Fault::StoreDown)
-                CHECK(pauses.back() == 0);
+                CHECK(heldTurns.back() == 0);
         }
     }
 }
@@ -230,9 +230,9 @@
     for (int outage : { 0, 30, 100 }) {
         for (auto fault : faults) {
             for (std::uint32_t rank : { 0u, 2u }) {
-                auto pauses = pausesOf(fault, rank, outage);
-                fmt::print("outage {:3} turns, {:30} rank {}: median {:3} p90 {:3} most {:3}\n", outage, faultNames[static_cast<int>(fault)], rank, pauses[pauses.size() / 2],
-                    pauses[pauses.size() * 9 / 10], pauses.back());
+                auto heldTurns = sortedHeldTurns(fault, rank, outage);
+                fmt::print("outage {:3} turns, {:30} rank {}: median {:3} p90 {:3} most {:3}\n", outage, faultNames[static_cast<int>(fault)], rank, heldTurns[heldTurns.size() / 2],
+                    heldTurns[heldTurns.size() * 9 / 10], heldTurns.back());
             }
         }
     }
--- a/test/expertmap-wire_test.cc
+++ b/test/expertmap-wire_test.cc
@@ -19,7 +19,7 @@
 using Words = std::vector<std::uint64_t>;
 
 template <typename Schema, typename T>
-Words wordsOf(const T& value)
+Words serialize(const T& value)
 {
     capnp::MallocMessageBuilder message;
     wire::build(message.initRoot<Schema>(), value);
@@ -43,23 +43,23 @@
 }
 
 template <typename Schema, typename T>
-void damageAndParse(const T& value, std::mt19937_64& random)
+void corruptAndParse(const T& value, std::mt19937_64& random)
 {
     for (int n = 0; n < 3000; ++n) {
-        auto words = wordsOf<Schema>(value);
+        auto words = serialize<Schema>(value);
         auto* bytes = reinterpret_cast<unsigned char*>(words.data());
         for (int k = 0; k < 3; ++k)
             bytes[random() % (words.size() * sizeof(words[0]))] = static_cast<unsigned char>(random());
         words.resize(words.size() - random() % 2);
         auto parsed = parseWords<Schema>(words);
         if (parsed)
-            wordsOf<Schema>(*parsed);
+            serialize<Schema>(*parsed);
         else
             CHECK(parsed.error().code == ErrorCode::MalformedInput);
     }
 }
 
-RankReport someReport()
+RankReport sampleReport()
 {
     EngineStatus status { Incarnation(50), true, MapVersion(6), StepNumber(39), point, true, { MapVersion(6), MapVersion(7) } };
     return { RankIndex(3), Incarnation(9), { 4, Incarnation(8) }, 12, status };
@@ -73,7 +73,7 @@
         Admit { MapVersion(6), point }, Arm { point }, Go { point }, Cancel { point } };
     for (auto& order : orders) {
         RankOrder sent { { 4, Incarnation(8) }, 12, RankIndex(3), Incarnation(50), order };
-        auto words = wordsOf<schema::RankOrder>(sent);
+        auto words = serialize<schema::RankOrder>(sent);
         auto got = parseWords<schema::RankOrder>(words);
         REQUIRE(got.has_value());
         CHECK(got->order == order);
@@ -82,47 +82,47 @@
         CHECK(got->rank == sent.rank);
         CHECK(got->engine == sent.engine);
     }
-    auto words = wordsOf<schema::RankReport>(someReport());
+    auto words = serialize<schema::RankReport>(sampleReport());
     auto got = parseWords<schema::RankReport>(words);
     REQUIRE(got.has_value());
-    CHECK(got->status == someReport().status);
-    VersionedMap map { MapVersion(41), ExpertMap::even({ 4, 3, 8, 3 }).value() };
-    words = wordsOf<schema::ExpertMap>(map);
+    CHECK(got->status == sampleReport().status);
+    VersionedMap map { MapVersion(41), ExpertMap::contiguous({ 4, 3, 8, 3 }).value() };
+    words = serialize<schema::ExpertMap>(map);
     CHECK(parseWords<schema::ExpertMap>(words).value() == map);
 }
 
 TEST_CASE("Wire: what no peer could have meant is refused")
 {
     // A damaged or hostile message must not move a rank. Each of these was read as if it were good before it was checked.
-    auto isRefused = [](const RankReport& report) {
-        auto words = wordsOf<schema::RankReport>(report);
+    auto isRejected = [](const RankReport& report) {
+        auto words = serialize<schema::RankReport>(report);
         return !parseWords<schema::RankReport>(words).has_value();
     };
-    auto report = someReport();
+    auto report = sampleReport();
     report.rank = RankIndex(wire::maxRanks);
-    CHECK(isRefused(report));
-    report = someReport();
+    CHECK(isRejected(report));
+    report = sampleReport();
     report.status->armed.reset();
-    CHECK(isRefused(report));
-    report = someReport();
+    CHECK(isRejected(report));
+    report = sampleReport();
     report.status->staged.assign(wire::maxStagedMaps + 1, MapVersion(1));
-    CHECK(isRefused(report));
-    report = someReport();
+    CHECK(isRejected(report));
+    report = sampleReport();
     report.status->engine = Incarnation(0);
-    CHECK(isRefused(report));
-    report = someReport();
+    CHECK(isRejected(report));
+    report = sampleReport();
     report.promised.counter = wire::maxFenceCounter + 1;
-    CHECK(isRefused(report));
+    CHECK(isRejected(report));
     RankOrder order { { 4, Incarnation(8) }, 12, RankIndex(3), std::nullopt, Arm { point } };
-    auto words = wordsOf<schema::RankOrder>(order);
+    auto words = serialize<schema::RankOrder>(order);
     CHECK(parseWords<schema::RankOrder>(words).error().message == "an order names no life of its engine");
 }
 
 TEST_CASE("Wire: random damage is refused or read as some good message, and never crashes")
 {
     std::mt19937_64 random(7);
-    damageAndParse<schema::RankReport>(someReport(), random);
-    damageAndParse<schema::RankOrder>(RankOrder { { 4, Incarnation(8) }, 12, RankIndex(3), Incarnation(50), Admit { MapVersion(6), point } }, random);
-    damageAndParse<schema::RankHello>(RankHello { RankIndex(3), Incarnation(9) }, random);
-    damageAndParse<schema::ExpertMap>(VersionedMap { MapVersion(41), ExpertMap::even({ 4, 3, 8, 3 }).value() }, random);
+    corruptAndParse<schema::RankReport>(sampleReport(), random);
+    corruptAndParse<schema::RankOrder>(RankOrder { { 4, Incarnation(8) }, 12, RankIndex(3), Incarnation(50), Admit { MapVersion(6), point } }, random);
+    corruptAndParse<schema::RankHello>(RankHello { RankIndex(3), Incarnation(9) }, random);
+    corruptAndParse<schema::ExpertMap>(VersionedMap { MapVersion(41), ExpertMap::contiguous({ 4, 3, 8, 3 }).value() }, random);
 }
--- a/test/process/expert-maps_test.cc
+++ b/test/process/expert-maps_test.cc
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr std::size_t ranks = 4;
-constexpr seconds patience { 20 };
+constexpr seconds waitTimeout { 20 };
 
 /// Four engines that step as one group, two experts a rank and one spare slot each, with reports that count at once.
 Fleet::Options groupOf(std::vector<std::string> engineOptions)
@@ -60,7 +60,7 @@
 }
 
 /// The maps that the group's engines entered each step with.
-std::map<std::uint64_t, std::set<std::uint64_t>> mapsOfSteps(Fleet& fleet)
+std::map<std::uint64_t, std::set<std::uint64_t>> mapsByStep(Fleet& fleet)
 {
     std::map<std::uint64_t, std::set<std::uint64_t>> maps;
     for (auto& server : fleet.servers()) {
@@ -73,20 +73,20 @@
 
 std::size_t mixedSteps(Fleet& fleet)
 {
-    auto maps = mapsOfSteps(fleet);
+    auto maps = mapsByStep(fleet);
     return static_cast<std::size_t>(std::count_if(maps.begin(), maps.end(), [](auto& it) { return it.second.size() > 1; }));
 }
 
 std::uint64_t newestStep(Fleet& fleet)
 {
-    auto maps = mapsOfSteps(fleet);
+    auto maps = mapsByStep(fleet);
     return maps.empty() ? 0 : maps.rbegin()->first;
 }
 
 std::set<std::uint64_t> mapsUsed(Fleet& fleet)
 {
     std::set<std::uint64_t> used;
-    for (auto& [step, maps] : mapsOfSteps(fleet))
+    for (auto& [step, maps] : mapsByStep(fleet))
         used.insert(maps.begin(), maps.end());
     return used;
 }
@@ -94,7 +94,7 @@
 bool waitUntilStepping(Fleet& fleet)
 {
     auto begin = newestStep(fleet);
-    return waitUntil(Clock::now() + patience, [&] { return newestStep(fleet) > begin + 20; });
+    return waitUntil(Clock::now() + waitTimeout, [&] { return newestStep(fleet) > begin + 20; });
 }
 
 /// One expert of the eight gets half of all tokens from now on: worth a replica.
@@ -116,7 +116,7 @@
     REQUIRE(before.size() == 1);
 
     makeOneExpertHot(fleet);
-    REQUIRE(waitUntil(Clock::now() + patience, [&] { return mapsUsed(fleet).size() > 1; }));
+    REQUIRE(waitUntil(Clock::now() + waitTimeout, [&] { return mapsUsed(fleet).size() > 1; }));
     CHECK(waitUntilStepping(fleet));
     CHECK(mixedSteps(fleet) == 0);
 }
@@ -129,13 +129,13 @@
     REQUIRE(waitUntilStepping(fleet));
     makeOneExpertHot(fleet);
     auto& first = fleet.engine(0);
-    REQUIRE(waitUntil(Clock::now() + patience, [&] { return phaseOf(first) == "staging"; }));
+    REQUIRE(waitUntil(Clock::now() + waitTimeout, [&] { return phaseOf(first) == "staging"; }));
     first.agent->kill();
     CHECK(waitUntilStepping(fleet));
     CHECK(mapsUsed(fleet).size() == 1);
     fleet.startAgent(first);
 
-    CHECK(waitUntil(Clock::now() + patience, [&] { return mapsUsed(fleet).size() > 1; }));
+    CHECK(waitUntil(Clock::now() + waitTimeout, [&] { return mapsUsed(fleet).size() > 1; }));
     CHECK(waitUntilStepping(fleet));
     CHECK(mixedSteps(fleet) == 0);
 }
@@ -151,20 +151,20 @@
     makeOneExpertHot(fleet);
     auto& first = fleet.engine(0);
     auto& second = fleet.engine(1);
-    REQUIRE(waitUntil(Clock::now() + patience, [&] { return loadedMaps(second) > 1; }));
+    REQUIRE(waitUntil(Clock::now() + waitTimeout, [&] { return loadedMaps(second) > 1; }));
     second.agent->pause();
-    REQUIRE(waitUntil(Clock::now() + patience, [&] { return phaseOf(first) == "arming"; }));
+    REQUIRE(waitUntil(Clock::now() + waitTimeout, [&] { return phaseOf(first) == "arming"; }));
     std::this_thread::sleep_for(milliseconds(500));
     first.agent->kill();
     auto heldAt = newestStep(fleet);
     fleet.startAgent(first);
-    REQUIRE(waitUntil(Clock::now() + patience, [&] { return phaseOf(first) == "inquiring"; }));
+    REQUIRE(waitUntil(Clock::now() + waitTimeout, [&] { return phaseOf(first) == "inquiring"; }));
     std::this_thread::sleep_for(milliseconds(500));
     CHECK(newestStep(fleet) == heldAt);
     second.agent->resume();
 
     CHECK(waitUntilStepping(fleet));
-    CHECK(waitUntil(Clock::now() + patience, [&] { return mapsUsed(fleet).size() > 1; }));
+    CHECK(waitUntil(Clock::now() + waitTimeout, [&] { return mapsUsed(fleet).size() > 1; }));
     CHECK(waitUntilStepping(fleet));
     CHECK(mixedSteps(fleet) == 0);
 }
@@ -176,7 +176,7 @@
     Fleet fleet(groupOf({}));
     REQUIRE(waitUntilStepping(fleet));
     makeOneExpertHot(fleet);
-    REQUIRE(waitUntil(Clock::now() + patience, [&] { return mapsUsed(fleet).size() > 1; }));
+    REQUIRE(waitUntil(Clock::now() + waitTimeout, [&] { return mapsUsed(fleet).size() > 1; }));
     REQUIRE(waitUntilStepping(fleet));
     auto& replaced = fleet.engine(2);
     replaced.agent->kill();
--- a/test/rank-engine_test.cc
+++ b/test/rank-engine_test.cc
@@ -48,10 +48,10 @@
             Coordinator::Options options;
             options.incarnation = incarnation;
             options.ranks = m_options.ranks;
-            options.stagingRanks = m_options.ranks;
+            options.maxStagingRanks = m_options.ranks;
             options.leadSteps = 2;
-            options.retryAfter = milliseconds(30);
-            options.stagePollAfter = milliseconds(30);
+            options.retryInterval = milliseconds(30);
+            options.stagePollInterval = milliseconds(30);
             agent->coordinator = Coordinator::create(options).value();
         }
         m_agents[r] = std::move(agent);
@@ -79,7 +79,7 @@
     {
         m_wanted = version;
         if (m_agents[0])
-            carryOut(m_agents[0]->coordinator->apply(m_group.now(), coordination::MapWanted { version }));
+            carryOut(m_agents[0]->coordinator->apply(m_group.now(), coordination::MapChangeRequested { version }));
     }
 
     void run(int turns)
@@ -137,13 +137,13 @@
             return;
         auto& agent = *m_agents[to];
         if (auto* order = std::get_if<RankOrder>(&message))
-            carryOut(to, agent.agent.apply(m_group.now(), rank::OrderArrived { *order }));
+            carryOut(to, agent.agent.apply(m_group.now(), rank::OrderReceived { *order }));
         else if (!agent.coordinator)
             return;
         else if (auto* report = std::get_if<RankReport>(&message))
-            carryOut(agent.coordinator->apply(m_group.now(), coordination::ReportArrived { *report }));
+            carryOut(agent.coordinator->apply(m_group.now(), coordination::ReportReceived { *report }));
         else
-            carryOut(agent.coordinator->apply(m_group.now(), coordination::HelloArrived { std::get<RankHello>(message) }));
+            carryOut(agent.coordinator->apply(m_group.now(), coordination::HelloReceived { std::get<RankHello>(message) }));
     }
 
     void tick(std::uint32_t r)
@@ -174,7 +174,7 @@
     void carryOut(std::uint32_t r, const rank::Effects& effects)
     {
         for (auto& effect : effects) {
-            if (auto* write = std::get_if<rank::WriteEngine>(&effect))
+            if (auto* write = std::get_if<rank::SendToEngine>(&effect))
                 perform(r, write->order);
             else if (auto* report = std::get_if<rank::SendReport>(&effect))
                 send(0, report->report);
@@ -193,16 +193,16 @@
 
     void perform(std::uint32_t r, const EngineOrder& order)
     {
-        auto map = std::holds_alternative<StageMap>(order.order) ? std::optional(ExpertMap::even({ m_options.ranks, 1, m_options.ranks, 1 }).value()) : std::nullopt;
+        auto map = std::holds_alternative<StageMap>(order.order) ? std::optional(ExpertMap::contiguous({ m_options.ranks, 1, m_options.ranks, 1 }).value()) : std::nullopt;
         auto incarnation = m_agents[r]->incarnation;
         auto onDone = [this, r, id = order.id, incarnation](const std::exception_ptr& error, const EngineStatus& status) {
             if (!m_agents[r] || m_agents[r]->incarnation != incarnation)
                 return;
             auto& agent = m_agents[r]->agent;
             if (error)
-                carryOut(r, agent.apply(m_group.now(), rank::EngineLost {}));
+                carryOut(r, agent.apply(m_group.now(), rank::EngineDisconnected {}));
             else
-                carryOut(r, agent.apply(m_group.now(), rank::EngineAnswered { id, status, FencingNumber {} }));
+                carryOut(r, agent.apply(m_group.now(), rank::EngineResponded { id, status, FencingNumber {} }));
         };
         boost::asio::co_spawn(m_ioContext, m_agents[r]->engine->perform(order.order, map), onDone);
         runAll();
@@ -424,7 +424,7 @@
     };
     auto order = [&](Order it, std::optional<ExpertMap> map = std::nullopt) -> boost::asio::awaitable<void> { co_await engine.perform(it, std::move(map)); };
     MapVersion wanted(4100);
-    finish(order(StageMap { wanted }, ExpertMap::even({ 2, 1, 2, 1 }).value()));
+    finish(order(StageMap { wanted }, ExpertMap::contiguous({ 2, 1, 2, 1 }).value()));
     for (int n = 0; n < 60; ++n)
         group.advance();
     SwitchPoint point { wanted, StepNumber(group.steps() + 3) };
@@ -465,7 +465,7 @@
         ioContext.run();
     };
     MapVersion wanted(4100);
-    finish(StageMap { wanted }, ExpertMap::even({ 2, 1, 2, 1 }).value());
+    finish(StageMap { wanted }, ExpertMap::contiguous({ 2, 1, 2, 1 }).value());
     for (int n = 0; n < 60; ++n)
         group.advance();
     finish(Arm { { wanted, StepNumber(group.steps() + 3) } }, std::nullopt);
--- a/test/replica-layer_test.cc
+++ b/test/replica-layer_test.cc
@@ -52,7 +52,7 @@
     for (int seed = 0; seed < 12; ++seed) {
         std::vector<double> tokens(shape.experts);
         std::generate(tokens.begin(), tokens.end(), [&] { return std::exp(std::uniform_real_distribution<double>(0, 5)(random)); });
-        auto map = ExpertMap::inTurn(shape).value();
+        auto map = ExpertMap::roundRobin(shape).value();
         ReplicaLayer layer(shape, map.layer(LayerIndex(0)), tokens, std::vector<double>(shape.ranks, 1.0));
         std::vector<std::uint32_t> mayTake(shape.ranks, 8);
         for (int changes = 0; changes < 10; ++changes) {
--- a/test/replica-planner_test.cc
+++ b/test/replica-planner_test.cc
@@ -17,7 +17,7 @@
 
 ExpertMap inTurn()
 {
-    return ExpertMap::inTurn(shape).value();
+    return ExpertMap::roundRobin(shape).value();
 }
 
 /// Demand in which a few experts get most of the tokens.
@@ -190,7 +190,7 @@
     options.newPerRankAndLayer = 2;
     auto planner = ReplicaPlanner::create(large, options).value();
     CHECK_FALSE(planner.observe(start, tokens).has_value());
-    auto map = ExpertMap::inTurn(large).value();
+    auto map = ExpertMap::roundRobin(large).value();
     auto plan = planner.plan(map);
     INFO("gain " << plan.gain << " from " << planner.imbalance(map));
     REQUIRE(plan.map.has_value());
