--- a/include/swiftloft/expertmap/coordinator.h
+++ b/include/swiftloft/expertmap/coordinator.h
@@ -19,19 +19,20 @@
 struct HelloReceived {
     RankHello hello;
 };
-/// The group shall run with `version`, now and after restarts. Replaces an earlier wish; a switch that a rank may be
-/// armed for is seen through first.
+/// The group is to run with `version` from now on, also after restarts. Replaces an earlier request; a switch for which
+/// a rank may already be armed is completed first.
 struct MapChangeRequested {
     MapVersion version;
 };
-/// The wish is withdrawn: the group keeps the map it has. A switch that a rank may be armed for is seen through.
+/// The request is withdrawn and the group keeps its current map. A switch for which a rank may already be armed is
+/// completed.
 struct MapChangeWithdrawn { };
-/// Time passed. Deliver one at least every `Options::retryAfter`.
+/// Time has passed. The caller delivers this event at least every `Options::retryInterval`.
 struct Ticked { };
 
 using Event = std::variant<ReportReceived, HelloReceived, MapChangeRequested, MapChangeWithdrawn, Ticked>;
 
-/// Send to the agent at the address of the rank.
+/// Send the order to the agent at the address of its rank.
 struct SendOrder {
     RankOrder order;
 };
@@ -39,11 +40,12 @@
 struct ChangeFinished {
     SwitchPoint point;
 };
-/// A rank had passed `point.step` before it could be armed; all ranks keep their map there and a later step is tried.
+/// A rank entered `point.step` before it was armed. All ranks enter that step with their current map, and a later
+/// switch step is chosen.
 struct ChangePostponed {
     SwitchPoint point;
 };
-/// A newer coordinator has spoken. This one does nothing any more; its process starts a new one if it still runs
+/// A newer coordinator exists. This one takes no further action; its process starts a new coordinator if it still runs
 /// rank 0.
 struct SteppedDown {
     FencingNumber newer;
@@ -54,60 +56,66 @@
 
 } // namespace coordination
 
-/// What a coordinator is about, for status pages.
+/// What a coordinator is currently doing, for status pages.
 enum class CoordinatorPhase {
-    /// Asking all ranks what they hold; gives no other order.
+    /// Reads the status of all ranks and sends no other order.
     Inquiring,
     Idle,
-    /// Ranks load the wanted map beside the current one.
+    /// Ranks load the target map beside the current one.
     Staging,
-    /// Ranks are told to hold before the switch step.
+    /// Ranks are ordered to hold before the switch step.
     Arming,
-    /// All ranks are armed or one has switched: each is told to go.
+    /// All ranks are armed or one has already switched: each is ordered to switch.
     Confirming,
-    /// A rank had passed the switch step: the armed ones are told to go on with the current map.
+    /// A rank entered the switch step before it was armed: the armed ranks are ordered to continue with the current
+    /// map.
     Cancelling,
-    /// A restarted engine is brought back with the map of the group.
+    /// A restarted engine is readmitted with the map of the group.
     Admitting,
     SteppedDown,
 };
 
 const char* toString(CoordinatorPhase phase);
 
-/// The only coordinator of a rank group, run by the agent of rank 0. A group in lock-step cannot step without rank 0,
-/// so nobody is elected: the death of the coordinator stops the group anyway.
+/// The single coordinator of a rank group, run by the agent of rank 0. The ranks step in lock-step and can't step
+/// without rank 0, so there is no leader election: the failure of the coordinator stops the group anyway.
 ///
-/// Its decisions follow from what the engines hold and from nothing it remembers. A switch point that any rank is armed
-/// for is always carried forward, unless some rank has already entered that step with the old map. So two coordinators
-/// that both believe to be in charge come to the same outcome.
+/// The coordinator decides by the state of the engines only, not by anything it remembers. A switch for which any rank
+/// is armed is always completed, unless some rank has already entered the switch step with the old map. Two
+/// coordinators that both believe they are in charge therefore reach the same outcome.
 class Coordinator {
 public:
     struct Options {
         Incarnation incarnation;
         std::uint32_t ranks { 0 };
-        /// Map to admit engines with when no rank of the group has one (first start, or all restarted) and none is wanted.
+        /// Map with which engines are admitted when no rank of the group has a map (first start, or all ranks
+        /// restarted) and none has been requested.
         MapVersion initial;
-        /// Ranks that load weights at the same time; keeps the group within its share of the weight store's rate.
+        /// Number of ranks that load weights at the same time. Keeps the group within its share of the weight store's
+        /// transfer rate.
         std::uint32_t maxStagingRanks { 1 };
-        /// Steps between the newest known step and the first switch step tried; doubled when that was too few.
+        /// Steps between the newest known step and the first switch step that is tried. Doubled each time a rank
+        /// reaches the switch step before it is armed.
         std::uint64_t leadSteps { 32 };
-        /// Bound of that doubling.
+        /// Upper bound of the lead after doubling.
         std::uint64_t maxLeadSteps { 4096 };
         milliseconds retryInterval { 20 };
-        /// Ranks are read this often while nothing happens, to find restarted engines.
+        /// Interval at which ranks are read while no change is in progress, to detect restarted engines.
         milliseconds idleReadInterval { 1000 };
-        /// A rank that loads weights is asked this often whether it has them.
+        /// Interval at which a rank that loads weights is polled for completion.
         milliseconds stagePollInterval { 200 };
-        /// When positive, takes the place of `leadSteps` once the time of a step is known: the lead is as many steps as
-        /// last at least this long. What the lead is for, arming all ranks, takes time and not steps.
+        /// When positive, replaces `leadSteps` once the duration of a step is known: the lead is the number of steps
+        /// that together last at least this long. The lead covers the arming of all ranks, which takes a certain time
+        /// rather than a number of steps.
         milliseconds leadTime { 0 };
-        /// The time of a step is measured over this long at least. Reports of two ranks that were read on both sides of a
-        /// step's begin come within a millisecond; measured between them a step passes for that short, and the switch is
-        /// put up to `maxLeadSteps` ahead, seconds late.
+        /// Shortest time over which the duration of a step is measured. Reports of two ranks that were read just before
+        /// and just after the start of a step arrive within a millisecond. A measurement between the two would take the
+        /// step to be that short, and the switch would be scheduled up to `maxLeadSteps` ahead, seconds late.
         milliseconds minStepMeasurementTime { 200 };
     };
 
-    /// Fails with `InvalidArgument` when there is no rank, a time or lead is not positive, or the incarnation is zero.
+    /// Fails with `InvalidArgument` when `ranks` or `maxStagingRanks` is zero, when an interval or `leadSteps` is not
+    /// positive, when `leadSteps` exceeds `maxLeadSteps`, or when the incarnation is zero.
     static Result<Coordinator> create(const Options& options);
 
     coordination::Effects apply(TimePoint now, const coordination::Event& event);
@@ -115,19 +123,19 @@
     CoordinatorPhase phase() const { return m_phase; }
     FencingNumber fence() const { return m_fence; }
     std::optional<MapVersion> targetMap() const { return m_targetMap; }
-    /// The switch point that some rank is armed for, if any.
+    /// The switch point that some rank is armed for, if any; the earliest if there are several.
     std::optional<SwitchPoint> pendingSwitch() const;
-    /// True once the rank has reported that it is armed for `pending`.
+    /// True once the rank has reported that it is armed for `pendingSwitch()`.
     bool isKnownArmed(RankIndex rank) const;
-    /// Ranks whose state is not known since this coordinator began; while any is left, no change starts.
+    /// Ranks whose status this coordinator has not received yet. No change starts while there are any.
     std::vector<RankIndex> ranksWithoutStatus() const;
-    /// Ranks that have not reported since `time`; what a status page names when the group holds.
+    /// Ranks that have not reported since `time`. Status pages list them when the group holds.
     std::vector<RankIndex> silentRanks(TimePoint time) const;
 
 private:
     struct RankView {
         std::optional<EngineStatus> status;
-        /// Round of the report that `status` came with.
+        /// Round of the report that contained `status`.
         std::uint64_t round { 0 };
         TimePoint reportedAt;
         std::optional<Order> lastOrder;
@@ -167,15 +175,16 @@
     std::vector<RankView> m_ranks;
     std::uint64_t m_round { 0 };
     std::optional<MapVersion> m_targetMap;
-    /// The switch point this coordinator armed or found armed last.
+    /// The switch point that this coordinator last armed or found armed.
     std::optional<SwitchPoint> m_switchPoint;
-    /// Doubled with each switch step that was reached too soon.
+    /// Doubled each time a rank reaches the switch step before it is armed.
     std::uint64_t m_leadFactor { 1 };
-    /// Newest step known, since when, and how long the steps before it took each.
+    /// Newest known step at the last measurement, the time of that measurement, and the measured duration of one step.
     StepNumber m_measuredStep;
     TimePoint m_measuredAt;
     std::optional<Clock::duration> m_stepTime;
-    /// Engines seen waiting to be admitted; they are, once every rank has reported in a round after `m_freshRound`.
+    /// Engines found waiting for admission. They are admitted once every rank has reported in a round after
+    /// `m_freshAfterRound`.
     std::vector<Incarnation> m_unadmittedEngines;
     std::uint64_t m_freshAfterRound { 0 };
     bool m_hasLed { false };
--- a/include/swiftloft/expertmap/expert-map.h
+++ b/include/swiftloft/expertmap/expert-map.h
@@ -9,8 +9,8 @@
 
 namespace swiftloft::expertmap {
 
-/// The size of a group's expert map. Each rank has `slotsPerRank` places for expert weights in every layer; what is left
-/// over when each expert has one place are spare slots for replicas.
+/// The dimensions of a group's expert map. Each rank has `slotsPerRank` slots for expert weights in every layer. The
+/// slots that remain when each expert has one slot are spare slots for replicas.
 struct MapShape {
     std::uint32_t ranks { 0 };
     std::uint32_t layers { 0 };
@@ -22,26 +22,28 @@
     friend bool operator==(const MapShape&, const MapShape&) = default;
 };
 
-/// A slot that holds no expert.
+/// Marks a slot that holds no expert.
 inline constexpr ExpertIndex noExpert { 0xffff };
 
-/// Which rank holds which experts, by layer. Slots of a layer are ordered by rank.
+/// Assignment of experts to ranks, by layer. The slots of a layer are ordered by rank.
 class ExpertMap {
 public:
-    /// `slots` holds `layers * ranks * slotsPerRank` entries. Fails with `InvalidArgument` when a size is zero or does not
-    /// match, when an expert of some layer has no slot, or when a rank holds one expert twice in a layer.
+    /// `slots` holds `layers * ranks * slotsPerRank` entries. Fails with `InvalidArgument` when a size is zero, too
+    /// large or does not match, when a slot holds an expert out of range, when an expert of some layer has no slot, or
+    /// when a rank holds one expert twice in a layer.
     static Result<ExpertMap> create(const MapShape& shape, std::vector<ExpertIndex> slots);
-    /// Experts in order over the ranks, and spare slots filled with replicas in the same order, half the ranks further
-    /// on. Fails when the experts don't fit.
+    /// Assigns a contiguous range of experts to each rank and fills the spare slots with replicas in the same order,
+    /// offset by half of the ranks. Fails when the experts don't fit.
     static Result<ExpertMap> contiguous(const MapShape& shape);
 
-    /// Experts dealt to the ranks one by one, and spare slots empty. Fails when the experts don't fit.
+    /// Assigns experts to the ranks round-robin and leaves the spare slots empty. Fails when the experts don't fit.
     static Result<ExpertMap> roundRobin(const MapShape& shape);
 
     const MapShape& shape() const { return m_shape; }
     std::span<const ExpertIndex> layer(LayerIndex layer) const;
     std::span<const ExpertIndex> slots() const { return m_slots; }
-    /// Digest of shape and slots: equal maps have equal versions at every process, different ones different.
+    /// Digest of shape and slots: equal maps have the same version in every process, different maps have different
+    /// versions.
     MapVersion version() const;
 
     friend bool operator==(const ExpertMap&, const ExpertMap&) = default;
@@ -53,7 +55,8 @@
     std::vector<ExpertIndex> m_slots;
 };
 
-/// A map with the name under which its group runs it: its digest, or a number where engines ask for rising ones.
+/// A map and the version under which its group runs it: the map's digest, or a number where engines require increasing
+/// versions.
 struct VersionedMap {
     MapVersion version;
     ExpertMap map;
@@ -61,8 +64,8 @@
     friend bool operator==(const VersionedMap&, const VersionedMap&) = default;
 };
 
-/// Counts the experts that ranks must load to go from one map to the other: those that a rank holds in `to` and not in
-/// `from`. The maps have one shape.
+/// Returns the number of experts that ranks must load to change from one map to the other: those that a rank holds in
+/// `to` but not in `from`. Both maps must have the same shape.
 std::uint64_t expertsMoved(const ExpertMap& from, const ExpertMap& to);
 
 } // namespace swiftloft::expertmap
--- a/include/swiftloft/expertmap/protocol.h
+++ b/include/swiftloft/expertmap/protocol.h
@@ -11,13 +11,13 @@
 
 /// Expert maps of rank groups: the protocol that changes them and the policy that plans them.
 ///
-/// This header holds the messages and the view of an engine that `Coordinator` and `RankAgent` share. Both are pure
-/// reducers: events in, effects out as data, no clock and no I/O of their own. docs/design/expert-maps.md gives the
-/// protocol, its proof and what it needs from engines.
+/// This header defines the messages and the engine status that `Coordinator` and `RankAgent` share. Both classes are
+/// pure reducers: they take events and return effects as data, without a clock or I/O of their own.
+/// docs/design/expert-maps.md describes the protocol, its proof and its requirements on engines.
 namespace swiftloft::expertmap {
 
-/// Orders coordinators by age: a higher counter is newer, and `holder` breaks a tie. A coordinator takes a counter above
-/// every one that a rank of its group has seen.
+/// Orders coordinators by age: a higher counter is newer, and `holder` breaks ties. A coordinator takes a counter above
+/// every counter that a rank of its group has seen.
 struct FencingNumber {
     std::uint64_t counter { 0 };
     Incarnation holder;
@@ -25,7 +25,7 @@
     friend auto operator<=>(const FencingNumber&, const FencingNumber&) = default;
 };
 
-/// "From `step` on, run with `version`." A coordinator never uses one step for two switch points.
+/// The step from which on all ranks run with `version`. A coordinator never uses one step for two switch points.
 struct SwitchPoint {
     MapVersion version;
     StepNumber step;
@@ -33,25 +33,26 @@
     friend auto operator<=>(const SwitchPoint&, const SwitchPoint&) = default;
 };
 
-/// What an engine says of itself. Read, never assumed: it is the only state that survives an agent.
+/// The state of an engine, as the engine reports it. Agents read this state and never assume it, as it is the only
+/// state that survives the restart of an agent.
 struct EngineStatus {
-    /// Differs for each life of the engine process.
+    /// Differs for each incarnation of the engine process.
     Incarnation engine;
-    /// False from the engine's start until an `Admit`; it enters no step before.
+    /// False from the engine's start until an `Admit`. The engine enters no step before it is admitted.
     bool isAdmitted { false };
-    /// Map of the step entered last, or the map admitted with.
+    /// Map of the step entered last, or the map with which the engine was admitted.
     MapVersion current;
-    /// Step entered last; 0 before the first.
+    /// Step entered last; 0 before the first step.
     StepNumber entered;
-    /// The switch point it will not pass without a `Go` or a `Cancel`.
+    /// The switch point that the engine does not pass without a `Go` or a `Cancel`.
     std::optional<SwitchPoint> armed;
-    /// True once a `Go` for `armed` has been taken.
+    /// True once a `Go` for `armed` has been accepted.
     bool isReleased { false };
-    /// Maps whose weights are loaded whole, `current` among them.
+    /// Maps whose weights are completely loaded, `current` among them.
     std::vector<MapVersion> staged;
 
     bool hasStaged(MapVersion version) const;
-    /// True when the engine runs `point.step` with `point.version`, or must: it entered it so or was released to.
+    /// True when the engine entered `point.step` with `point.version` or has been released to do so.
     bool isCommittedTo(const SwitchPoint& point) const;
     /// True when the engine entered `point.step` with another map.
     bool hasMissed(const SwitchPoint& point) const;
@@ -60,45 +61,48 @@
     friend bool operator==(const EngineStatus&, const EngineStatus&) = default;
 };
 
-// Orders. Each is idempotent and conditional on the engine's state, so that a late or doubled copy changes nothing.
+// Orders. Each is idempotent and conditional on the engine's state, so that a late or duplicated copy has no effect.
 
-/// Asks for the status only.
+/// Requests the status only.
 struct ReadStatus {
     friend bool operator==(const ReadStatus&, const ReadStatus&) = default;
 };
-/// Load the weights of `version` beside the current map. The answer comes at once; `staged` shows the end.
+/// Loads the weights of `version` beside the current map. The engine responds at once; the map appears in `staged` when
+/// loading has finished.
 struct StageMap {
     MapVersion version;
 
     friend bool operator==(const StageMap&, const StageMap&) = default;
 };
-/// Drop every staged map but `keep`. An engine never drops its current or armed map.
+/// Drops every staged map but `keep`. An engine never drops its current or armed map.
 struct DropMaps {
     MapVersion keep;
 
     friend bool operator==(const DropMaps&, const DropMaps&) = default;
 };
-/// Let a started engine step with `version`, armed from the first moment if `arm` is set. Ignored once admitted.
+/// Lets a started engine step with `version`. If `arm` is set, the engine is armed for it from the start. Ignored once
+/// the engine is admitted.
 struct Admit {
     MapVersion version;
     std::optional<SwitchPoint> arm;
 
     friend bool operator==(const Admit&, const Admit&) = default;
 };
-/// Do not enter `point.step` before a `Go` or `Cancel` for `point`. Ignored when that step was entered, when the map
-/// is not staged, or when another switch point is armed.
+/// Holds the engine before `point.step` until a `Go` or `Cancel` for `point`. Ignored when that step has been entered,
+/// when the map is not staged, or when the engine is armed for another switch point.
 struct Arm {
     SwitchPoint point;
 
     friend bool operator==(const Arm&, const Arm&) = default;
 };
-/// Enter `point.step` with `point.version`. Ignored unless armed for `point`.
+/// Lets the engine enter `point.step` with `point.version`. Ignored unless the engine is armed for `point`.
 struct Go {
     SwitchPoint point;
 
     friend bool operator==(const Go&, const Go&) = default;
 };
-/// Enter `point.step` with the current map. Ignored unless armed for `point` and not yet released.
+/// Lets the engine enter `point.step` with the current map. Ignored unless the engine is armed for `point` and not yet
+/// released.
 struct Cancel {
     SwitchPoint point;
 
@@ -107,52 +111,53 @@
 
 using Order = std::variant<ReadStatus, StageMap, DropMaps, Admit, Arm, Go, Cancel>;
 
-/// Short stable name for logs, such as "arm".
+/// Short stable name of an order for logs and JSON messages, such as "arm".
 const char* nameOf(const Order& order);
 
-/// Coordinator to rank agent.
+/// Message from the coordinator to a rank agent.
 struct RankOrder {
     FencingNumber fence;
-    /// Counts the orders of one coordinator; the report that answers carries it back.
+    /// Sequence number of one coordinator's orders; the report that answers an order carries the same number.
     std::uint64_t round { 0 };
     RankIndex rank;
-    /// The engine life that the coordinator decided upon; an order for an earlier life is not passed on. Unset in a
-    /// `ReadStatus`.
+    /// The engine incarnation for which the coordinator made its decision. An order for an earlier incarnation is not
+    /// forwarded to the engine. Unset in a `ReadStatus`.
     std::optional<Incarnation> engine;
     Order order;
 };
 
-/// Rank agent to the coordinator that asked.
+/// Message from a rank agent to the coordinator whose order it answers.
 struct RankReport {
     RankIndex rank;
     Incarnation agent;
-    /// The highest fencing number this agent or its engine has seen.
+    /// The highest fencing number that this agent or its engine has seen.
     FencingNumber promised;
-    /// Of the order answered. The status was read from the engine after that order arrived.
+    /// Round of the order answered. The status was read from the engine after that order arrived.
     std::uint64_t round { 0 };
     /// Unset when the engine could not be read.
     std::optional<EngineStatus> status;
 };
 
-/// What the engine of a rank counted and holds, for the planner at rank 0.
+/// Token counts and experts held of one rank, for the planner at rank 0.
 struct RankLoads {
     RankIndex rank;
-    /// Counts begin anew with each life of the engine.
+    /// Counts restart at zero with each incarnation of the engine.
     Incarnation engine;
-    /// Step at which it was read; a later one is newer.
+    /// Step at which the counts were read; loads with a later step are newer.
     StepNumber step;
     /// Map that the rank runs.
     MapVersion map;
-    /// Its experts by layer and slot; `noExpert` for an empty slot.
+    /// The rank's experts by layer and slot; `noExpert` for an empty slot.
     std::vector<ExpertIndex> held;
-    /// How often its requests chose each expert, by layer and expert, since the life began, modulo 2^16: receivers take
-    /// differences. Empty from a rank that tells only what it holds.
+    /// How often the rank's requests chose each expert, by layer and expert, since the engine's incarnation began,
+    /// modulo 2^16; receivers compute differences. Empty from a rank that reports only the experts it holds.
     std::vector<std::uint32_t> tokens;
-    /// How much longer the rank's work takes than usual, by its engine's word; 1 is usual.
+    /// Duration of the rank's work relative to its usual duration, as reported by its engine; 1 is usual.
     double pace { 1 };
 };
 
-/// Rank agent to whoever is at the address of rank 0: "I have just started", or "my engine waits; what holds?".
+/// Message from a rank agent to the process at the address of rank 0, sent when the agent has just started or while its
+/// engine waits for a decision.
 struct RankHello {
     RankIndex rank;
     Incarnation agent;
--- a/include/swiftloft/expertmap/rank-agent.h
+++ b/include/swiftloft/expertmap/rank-agent.h
@@ -10,9 +10,9 @@
 
 namespace swiftloft::expertmap {
 
-/// An order for the engine with the fencing number under which the agent passes it on.
+/// An order for the engine, with the fencing number under which the agent forwards it.
 struct EngineOrder {
-    /// The agent's own count; the engine's answer is matched by it.
+    /// Sequence number of the agent's orders; the engine's response carries the same id.
     std::uint64_t id { 0 };
     FencingNumber fence;
     Order order;
@@ -20,38 +20,38 @@
 
 namespace rank {
 
-/// An order from a coordinator arrived.
+/// An order from a coordinator has arrived.
 struct OrderReceived {
     RankOrder order;
 };
-/// The engine answered the order with this id; `status` is its state after the order.
+/// The engine has responded to the order with this id. `status` is its state after the order.
 struct EngineResponded {
     std::uint64_t id { 0 };
     EngineStatus status;
-    /// Highest fencing number the engine has seen; zero for engines that ignore them.
+    /// Highest fencing number that the engine has seen; zero for engines that ignore fencing numbers.
     FencingNumber fence;
 };
-/// The connection to the engine broke. Orders in flight may or may not have been taken.
+/// The connection to the engine is lost. Orders in flight may or may not have been carried out.
 struct EngineDisconnected { };
-/// Time passed. Deliver one at least every `Options::engineTimeout`.
+/// Time has passed. The caller delivers this event at least every `Options::engineTimeout`.
 struct Ticked { };
 
 using Event = std::variant<OrderReceived, EngineResponded, EngineDisconnected, Ticked>;
 
-/// Write to the engine.
+/// Send the order to the engine.
 struct SendToEngine {
     EngineOrder order;
 };
-/// Send to the coordinator with this incarnation.
+/// Send the report to the coordinator with this incarnation.
 struct SendReport {
     Incarnation to;
     RankReport report;
 };
-/// Send to the process at the address of rank 0.
+/// Send the hello to the process at the address of rank 0.
 struct SendHello {
     RankHello hello;
 };
-/// An order with an older fencing number was refused; for the log.
+/// An order with an outdated fencing number was refused; for the log.
 struct OrderRefused {
     RankOrder order;
 };
@@ -61,34 +61,36 @@
 
 } // namespace rank
 
-/// The rank's side of a map change, run by the agent in the slot of each rank (that of rank 0 too).
+/// The rank's side of a map change, run by the agent in the slot of each rank, rank 0 included.
 ///
-/// It passes the coordinator's orders on to its engine, one at a time, and reports what the engine says. It keeps
-/// nothing that it needs after a restart: a new agent reads the engine first and passes nothing on before.
+/// The agent forwards the coordinator's orders to its engine, one at a time, and reports the engine's status. It keeps
+/// no state that is needed after a restart: a new agent reads the engine's status before it forwards any order.
 class RankAgent {
 public:
     struct Options {
         RankIndex rank;
         Incarnation incarnation;
-        /// From the settings of the backend server. When false, the agent is the fence: it reads the engine again just
-        /// before each order and passes the order on only if it still fits.
+        /// From the settings of the backend server. When false, the agent does the fencing: it reads the engine's
+        /// status just before each order and forwards the order only if it is still valid.
         bool engineChecksFences { false };
-        /// After this long without an answer, the engine is read again.
+        /// Time without a response after which the engine is read again.
         milliseconds engineTimeout { 50 };
-        /// An engine that waits longer than this makes the agent ask rank 0.
+        /// While the engine waits for a decision, the agent sends a hello to rank 0 after this time and again at this
+        /// interval.
         milliseconds helloInterval { 25 };
     };
 
     /// Fails with `InvalidArgument` when a time is not positive or the incarnation is zero.
     static Result<RankAgent> create(const Options& options);
 
-    /// The first effects of a life: read the engine, say hello.
+    /// Returns the first effects of a new agent: read the engine's status and send a hello.
     rank::Effects start(TimePoint now);
     rank::Effects apply(TimePoint now, const rank::Event& event);
 
     const std::optional<EngineStatus>& status() const { return m_status; }
     FencingNumber promised() const { return m_promised; }
-    /// True while the engine waits for a decision: armed and not released, or not admitted.
+    /// True while the engine waits for a decision: it is armed and not released, it is not admitted, or its status is
+    /// not known.
     bool isEngineWaiting() const;
 
 private:
@@ -108,9 +110,10 @@
     std::optional<EngineStatus> m_status;
     /// The coordinator's order that is being carried out.
     std::optional<RankOrder> m_currentOrder;
-    /// The newest order that arrived meanwhile; older ones are superseded, the coordinator repeats what it needs.
+    /// The newest order that arrived meanwhile. It supersedes older ones; the coordinator repeats the orders it needs.
     std::optional<RankOrder> m_nextOrder;
-    /// The engine's state was read for `m_current`, so that its order itself is now in flight.
+    /// True once the order of `m_currentOrder` itself has been sent, after any read of the engine's status that
+    /// precedes it.
     bool m_isOrderSent { false };
     bool m_isInFlight { false };
     std::uint64_t m_lastId { 0 };
--- a/src/expertmap/coordinator.cc
+++ b/src/expertmap/coordinator.cc
@@ -16,13 +16,13 @@
 Result<Coordinator> Coordinator::create(const Options& options)
 {
     if (options.incarnation.value() == 0)
-        return Error { ErrorCode::InvalidArgument, "a coordinator needs an incarnation other than 0" };
+        return Error { ErrorCode::InvalidArgument, "the incarnation of a coordinator must not be 0" };
     if (options.ranks == 0 || options.maxStagingRanks == 0)
-        return Error { ErrorCode::InvalidArgument, "a coordinator needs one rank and one staging rank at least" };
+        return Error { ErrorCode::InvalidArgument, "a coordinator needs at least one rank and one staging rank" };
     if (options.leadSteps == 0 || options.maxLeadSteps < options.leadSteps)
-        return Error { ErrorCode::InvalidArgument, "the lead must be one step at least and not above its bound" };
+        return Error { ErrorCode::InvalidArgument, "leadSteps must be at least 1 and at most maxLeadSteps" };
     if (options.retryInterval <= milliseconds(0) || options.idleReadInterval <= milliseconds(0) || options.stagePollInterval <= milliseconds(0))
-        return Error { ErrorCode::InvalidArgument, "the times of a coordinator must be positive" };
+        return Error { ErrorCode::InvalidArgument, "retryInterval, idleReadInterval and stagePollInterval must be positive" };
     return Coordinator(options);
 }
 
@@ -56,8 +56,9 @@
     if (report.rank.value() >= m_ranks.size())
         return;
     if (report.promised > m_fence) {
-        // Failure: this process was frozen and another took over rank 0. Two coordinators that outbid each other in
-        // turn would stop all changes, so one that has led gives way for good. One that has only just begun bids again.
+        // Failure: this process was frozen and another one took over rank 0. Two coordinators that keep outbidding each
+        // other's fencing number would block all changes, so one that has already led steps down for good. One that has
+        // only just started takes a higher number.
         if (m_hasLed) {
             m_phase = CoordinatorPhase::SteppedDown;
             effects.push_back(SteppedDown { report.promised });
@@ -67,8 +68,8 @@
         return;
     }
     auto& view = m_ranks[report.rank.value()];
-    // Failure: reports overtake each other. The status was read after the order of its round arrived, so a higher
-    // round is never older than what is known.
+    // Failure: reports overtake each other. The status was read after the order of its round arrived, so a report of a
+    // higher round is never older than the known status.
     if (report.promised != m_fence || report.round <= view.round || !report.status)
         return;
     view.round = report.round;
@@ -174,9 +175,9 @@
 
 void Coordinator::advance(TimePoint now, Effects& effects)
 {
-    // Failure: a coordinator died after some ranks were told to go and others not. Until its successor has heard what
-    // each rank holds it cannot know the outcome, so it only asks. Each answer also binds that rank's agent to the
-    // newer fencing number.
+    // Failure: a coordinator died after it had sent `Go` to some ranks but not to others. Its successor can't know the
+    // outcome before it has the status of every rank, so until then it only reads. Each answered read also binds that
+    // rank's agent to the newer fencing number.
     if (!hasAllStatuses()) {
         m_phase = CoordinatorPhase::Inquiring;
         for (auto rank : ranksWithoutStatus())
@@ -194,7 +195,7 @@
     if (admitEngines(now, effects))
         return;
     m_unadmittedEngines.clear();
-    // Once rank 0 may be armed, the switch point is seen through: a wish that changes meanwhile waits.
+    // Once rank 0 may be armed, the switch is completed first; a change request that arrives meanwhile waits.
     auto target = m_switchPoint ? std::optional(m_switchPoint->version) : m_targetMap;
     if (target && *target != groupMap()) {
         advanceChange(now, *target, effects);
@@ -211,7 +212,8 @@
         release(now, point, effects);
         return;
     }
-    // A rank entered the step with the old map, so it was never armed for it, so no rank was ever told to go.
+    // A rank entered the step with the old map. It was therefore never armed for the switch point, and no rank was ever
+    // sent a `Go`.
     if (anyRank([&](auto& status) { return status.hasMissed(point); })) {
         cancel(now, point, effects);
         return;
@@ -255,7 +257,7 @@
             readmit(now, r, point, effects);
         else if (status.isArmedFor(point))
             continue;
-        // An engine that restarted after it had loaded the map loads it again; the group holds meanwhile.
+        // An engine that restarted after it had loaded the map must load it again. The group holds meanwhile.
         else if (!status.hasStaged(point.version))
             send(now, r, StageMap { point.version }, effects);
         else
@@ -281,8 +283,9 @@
     m_phase = CoordinatorPhase::Admitting;
     bool isNew = std::any_of(engines.begin(), engines.end(), [this](auto engine) { return std::find(m_unadmittedEngines.begin(), m_unadmittedEngines.end(), engine) == m_unadmittedEngines.end(); });
     m_unadmittedEngines = std::move(engines);
-    // Failure: an engine restarts just as the others switch. What is known of them may be from before the switch, and
-    // it would be admitted with the old map. So all ranks are read once more after its restart was seen.
+    // Failure: an engine restarts just as the others switch. The known status of the others may be from before the
+    // switch, and the engine would be admitted with the old map. All ranks are therefore read again after the restart
+    // was detected.
     if (isNew) {
         m_freshAfterRound = m_round;
         for (auto& view : m_ranks)
@@ -293,8 +296,8 @@
         readAll(now, m_options.retryInterval, effects);
         return true;
     }
-    // Failure: with no rank admitted, an order that an earlier coordinator left behind could admit one rank with
-    // another map. Rank 0 goes first and alone; all others follow the map that its engine then shows.
+    // Failure: while no rank is admitted, a late order of an earlier coordinator could admit one rank with another map.
+    // Rank 0 is therefore admitted first and alone, and all other ranks follow the map that its engine then reports.
     bool isNoRankAdmitted = m_unadmittedEngines.size() == m_ranks.size();
     std::uint32_t end = isNoRankAdmitted ? 1 : static_cast<std::uint32_t>(m_ranks.size());
     for (std::uint32_t r = 0; r < end; ++r) {
@@ -308,7 +311,8 @@
 {
     auto& status = *m_ranks[rank].status;
     auto version = groupMap();
-    // The others may be before or in the switch step. Armed from its first moment, the engine is right in both cases.
+    // The other ranks may be before or in the switch step. An engine that is armed from its start is correct in both
+    // cases.
     bool hasSwitched = point && version == point->version;
     if (!status.hasStaged(version))
         send(now, rank, StageMap { version }, effects);
@@ -332,7 +336,8 @@
     }
     if (loading == 0)
         return true;
-    // Failure: loading takes minutes, in which the other ranks would not be heard and would pass for silent.
+    // Failure: loading takes minutes. Without reads, the other ranks would send no report in that time and would be
+    // listed as silent.
     for (auto r : otherRanks)
         send(now, r, ReadStatus {}, effects, m_options.idleReadInterval);
     return false;
@@ -347,7 +352,7 @@
     if (!m_switchPoint)
         m_switchPoint = SwitchPoint { version, StepNumber(newestStep().value() + effectiveLeadSteps()) };
     // Failure: see "Rank 0 is armed first" in docs/design/expert-maps.md. A successor must find this switch point armed
-    // at rank 0 whenever any rank could have been told to go.
+    // at rank 0 whenever any rank could have been sent a `Go`.
     send(now, 0, Arm { *m_switchPoint }, effects);
 }
 
@@ -361,8 +366,9 @@
     m_measuredAt = now;
 }
 
-/// Failure: a lead too short and the group waits at the switch until the last rank is armed; too long and it goes on with
-/// a map that no longer fits. Uneven steps are slow ones, so a lead counted in steps is longest when a change is due most.
+/// Failure: with a lead that is too short, the group waits at the switch step until the last rank is armed; with one
+/// that is too long, it keeps running with a map that no longer fits the load. Steps with uneven load are slow, so a
+/// lead counted in steps lasts longest just when the change is needed most.
 std::uint64_t Coordinator::effectiveLeadSteps() const
 {
     auto steps = m_options.leadSteps;
--- a/src/expertmap/engine-json.cc
+++ b/src/expertmap/engine-json.cc
@@ -96,7 +96,7 @@
         return Go { pointFrom(in) };
     if (name == nameOf(Cancel {}))
         return Cancel { pointFrom(in) };
-    throw Exception({ ErrorCode::MalformedInput, fmt::format("no order is called '{}'", name) });
+    throw Exception({ ErrorCode::MalformedInput, fmt::format("unknown order '{}'", name) });
 }
 
 EngineStatus statusFrom(const json::object& in)
@@ -110,13 +110,13 @@
     status.isReleased = in.at("is_released").as_bool();
     auto& staged = in.at("staged").as_array();
     if (staged.size() > maxStagedMaps)
-        throw Exception({ ErrorCode::MalformedInput, "an engine holds more maps than it may" });
+        throw Exception({ ErrorCode::MalformedInput, "engine status has too many staged maps" });
     for (auto& it : staged)
         status.staged.emplace_back(it.to_number<std::uint64_t>());
     return status;
 }
 
-/// Runs `read`, which may meet text that is no JSON or lacks a field.
+/// Runs `read` and converts the exceptions it throws for text that is not JSON or lacks a field to an `Error`.
 template <typename T, typename Read>
 Result<T> catchMalformed(Read&& read)
 {
@@ -125,7 +125,7 @@
     } catch (const Exception& e) {
         return e.error();
     } catch (const std::exception& e) {
-        return Error { ErrorCode::MalformedInput, fmt::format("no message of a map change: {}", e.what()) };
+        return Error { ErrorCode::MalformedInput, fmt::format("malformed map change message: {}", e.what()) };
     }
 }
 
--- a/src/expertmap/expert-map.capnp
+++ b/src/expertmap/expert-map.capnp
@@ -1,5 +1,5 @@
-# Messages of a change of the expert map, between the coordinator of a rank group and its ranks.
-# src/expertmap/wire.h converts them and checks what a peer sent.
+# Messages of an expert map change, between the coordinator of a rank group and its ranks.
+# src/expertmap/wire.h converts them and validates messages received from a peer.
 
 @0xe3b17c6a5f0d9248;
 
@@ -17,7 +17,7 @@
 }
 
 struct EngineStatus {
-  engine @0 :UInt64;               # life of the engine; 0 is none
+  engine @0 :UInt64;               # incarnation of the engine; 0 is none
   isAdmitted @1 :Bool;
   current @2 :UInt64;
   entered @3 :UInt64;
@@ -66,10 +66,11 @@
   experts @2 :UInt32;
   slotsPerRank @3 :UInt32;
   slots @4 :List(UInt16);          # by layer, rank and slot; 0xffff is an empty slot
-  version @5 :UInt64;              # the name under which the group runs it
+  version @5 :UInt64;              # version under which the group runs the map
 }
 
-# A map told by what differs from another one. Places are by layer, rank and slot, one expert for each.
+# A map given by its differences from another map, `base`. Places are slot indexes by layer, rank and slot, with one
+# expert for each.
 struct MapDifference {
   base @0 :UInt64;
   version @1 :UInt64;
@@ -77,26 +78,26 @@
   experts @3 :List(UInt16);        # 0xffff empties the place
 }
 
-# What a rank counted and holds, for the planner at rank 0.
+# Token counts and experts held of one rank, for the planner at rank 0.
 struct RankLoads {
   rank @0 :UInt32;
-  engine @1 :UInt64;               # life of the engine; counts begin anew with each
+  engine @1 :UInt64;               # incarnation of the engine; counts restart at zero with each
   map @2 :UInt64;                  # version that the rank runs
-  held @3 :List(UInt16);           # its experts by layer and slot; 0xffff is an empty slot
-  tokens @4 :List(UInt16);         # by layer and expert, since the life began, modulo 2^16
-  step @5 :UInt64;                 # at which it was read
-  pace @6 :Float32 = 1;            # how much longer the rank's work takes than usual
+  held @3 :List(UInt16);           # the rank's experts by layer and slot; 0xffff is an empty slot
+  tokens @4 :List(UInt16);         # by layer and expert, since the incarnation began, modulo 2^16
+  step @5 :UInt64;                 # step at which the counts were read
+  pace @6 :Float32 = 1;            # duration of the rank's work relative to usual; 1 is usual
 }
 
 # One datagram between two agents of a rank group.
 struct GroupMessage {
-  group @0 :Text;                  # a message of another group, to an address that changed hands, is dropped
+  group @0 :Text;                  # a message for another group, sent to an address that has been reassigned, is dropped
   union {
     order @1 :RankOrder;
     report @2 :RankReport;
     hello @3 :RankHello;
-    mapWanted @4 :UInt64;          # asks for the content of a map, by version
-    map @5 :ExpertMap;             # the answer, or a map that will be ordered soon
+    mapWanted @4 :UInt64;          # requests the content of a map, by version
+    map @5 :ExpertMap;             # the response, or a map that will be ordered soon
     loads @6 :RankLoads;
     difference @7 :MapDifference;  # a map that will be ordered soon
   }
--- a/src/expertmap/expert-map.cc
+++ b/src/expertmap/expert-map.cc
@@ -14,7 +14,7 @@
     return { ErrorCode::InvalidArgument, std::move(message) };
 }
 
-/// Bounds that keep sizes of untrusted maps far from overflow.
+/// Limits that keep size computations on untrusted maps far from overflow.
 constexpr std::uint32_t maxRanks = 4096;
 constexpr std::uint32_t maxLayers = 1024;
 constexpr std::uint32_t maxExperts = 4096;
@@ -27,7 +27,7 @@
         && isWithin(shape.slotsPerRank, maxSlotsPerRank);
 }
 
-/// The text of what is wrong with one layer; empty when nothing is.
+/// Describes the first error in the slots of a layer; empty when they are valid.
 std::string layerError(const MapShape& shape, std::span<const ExpertIndex> slots, std::uint32_t layer)
 {
     std::vector<std::uint32_t> lastRank(shape.experts, shape.ranks);
@@ -59,9 +59,9 @@
 Result<ExpertMap> ExpertMap::create(const MapShape& shape, std::vector<ExpertIndex> slots)
 {
     if (!isValidShape(shape))
-        return invalid("a size of the expert map is zero or too large");
+        return invalid("a dimension of the expert map is zero or too large");
     if (slots.size() != static_cast<std::size_t>(shape.slotsPerLayer()) * shape.layers)
-        return invalid(fmt::format("an expert map of this shape has {} slots, not {}", static_cast<std::size_t>(shape.slotsPerLayer()) * shape.layers, slots.size()));
+        return invalid(fmt::format("an expert map of this shape needs {} slots, got {}", static_cast<std::size_t>(shape.slotsPerLayer()) * shape.layers, slots.size()));
     ExpertMap map(shape, std::move(slots));
     for (std::uint32_t layer = 0; layer < shape.layers; ++layer) {
         auto error = layerError(shape, map.layer(LayerIndex(layer)), layer);
@@ -74,7 +74,7 @@
 Result<ExpertMap> ExpertMap::contiguous(const MapShape& shape)
 {
     if (!isValidShape(shape) || shape.experts > shape.slotsPerLayer())
-        return invalid("the experts don't fit into the slots");
+        return invalid("the experts don't fit into the slots of a layer");
     std::vector<ExpertIndex> layer(shape.slotsPerLayer(), noExpert);
     auto rankHolds = [&](std::uint32_t rank, ExpertIndex expert) {
         auto begin = layer.begin() + rank * shape.slotsPerRank;
@@ -105,7 +105,7 @@
 Result<ExpertMap> ExpertMap::roundRobin(const MapShape& shape)
 {
     if (!isValidShape(shape) || shape.experts > shape.slotsPerLayer())
-        return invalid("the experts don't fit into the slots");
+        return invalid("the experts don't fit into the slots of a layer");
     std::vector<ExpertIndex> slots(static_cast<std::size_t>(shape.layers) * shape.slotsPerLayer(), noExpert);
     for (std::uint32_t layer = 0; layer < shape.layers; ++layer) {
         for (std::uint32_t expert = 0; expert < shape.experts; ++expert) {
--- a/src/expertmap/rank-agent.cc
+++ b/src/expertmap/rank-agent.cc
@@ -9,9 +9,9 @@
 Result<RankAgent> RankAgent::create(const Options& options)
 {
     if (options.incarnation.value() == 0)
-        return Error { ErrorCode::InvalidArgument, "a rank agent needs an incarnation other than 0" };
+        return Error { ErrorCode::InvalidArgument, "the incarnation of a rank agent must not be 0" };
     if (options.engineTimeout <= milliseconds(0) || options.helloInterval <= milliseconds(0))
-        return Error { ErrorCode::InvalidArgument, "the times of a rank agent must be positive" };
+        return Error { ErrorCode::InvalidArgument, "engineTimeout and helloInterval must be positive" };
     return RankAgent(options);
 }
 
@@ -55,14 +55,15 @@
     if (order.rank != m_options.rank)
         return;
     // Failure: a coordinator that was frozen wakes after its replacement has started and repeats its orders. Its
-    // fencing number is older, so nothing reaches the engine; the report tells it that it has been superseded.
+    // fencing number is older, so none of its orders reaches the engine. The newer number in the report shows it that it
+    // has been superseded.
     if (order.fence < m_promised) {
         effects.push_back(OrderRefused { order });
         effects.push_back(SendReport { order.fence.holder, { m_options.rank, m_options.incarnation, m_promised, order.round, std::nullopt } });
         return;
     }
     m_promised = order.fence;
-    // Failure: orders overtake each other on their way. Within one coordinator a higher round is newer.
+    // Failure: orders overtake each other in transit. Among the orders of one coordinator, a higher round is newer.
     bool isOlder = m_nextOrder && m_nextOrder->fence == order.fence && order.round < m_nextOrder->round;
     if (!isOlder)
         m_nextOrder = order;
@@ -74,8 +75,9 @@
     if (m_isInFlight || !m_nextOrder)
         return;
     m_currentOrder = std::exchange(m_nextOrder, std::nullopt);
-    // Failure: this agent has just started, or its engine ignores fencing numbers and may have been ordered by an
-    // earlier agent of this slot. What it remembers may be wrong, so it reads the engine before it orders anything.
+    // Failure: this agent has just started, or its engine ignores fencing numbers and may have received orders from an
+    // earlier agent of this slot. The status that this agent remembers may be outdated, so it reads the engine's status
+    // before it forwards an order.
     bool mustReadFirst = !m_options.engineChecksFences || !m_status;
     m_isOrderSent = !mustReadFirst;
     sendToEngine(now, mustReadFirst ? Order { ReadStatus {} } : m_currentOrder->order, effects);
@@ -92,8 +94,8 @@
 {
     if (std::holds_alternative<ReadStatus>(order.order))
         return false;
-    // Failure: the engine restarted after the coordinator saw it armed or staged. The order speaks of an engine that
-    // is gone; the report shows the new life and the coordinator decides again.
+    // Failure: the engine restarted after the coordinator saw it armed or staged. The order was meant for the earlier
+    // incarnation. The report shows the new incarnation, and the coordinator decides again.
     if (order.engine != m_status->engine)
         return false;
     return order.fence == m_promised;
@@ -101,7 +103,7 @@
 
 void RankAgent::onEngineResponse(TimePoint now, const EngineResponded& response, Effects& effects)
 {
-    // Failure: an answer that was given up as late would be taken for that of the order now in flight.
+    // Failure: a late response to an order that has timed out would be taken for the response to the order in flight.
     if (!m_isInFlight || response.id != m_lastId)
         return;
     m_isInFlight = false;
@@ -136,12 +138,13 @@
 void RankAgent::onTick(TimePoint now, Effects& effects)
 {
     if (m_isInFlight && now >= m_engineDeadline) {
-        // The order may still be taken later; it is conditional, and the next one is preceded by a read.
+        // The engine may still carry out the order later. The order is conditional, and the next one is preceded by a
+        // read.
         resetEngineState();
     }
     startNextOrder(now, effects);
-    // Failure: the coordinator died between the first and the last `Go`. This rank holds rather than guess, and asks
-    // whoever runs rank 0 now.
+    // Failure: the coordinator died between the first and the last `Go`. This rank holds rather than guess, and sends a
+    // hello to the process that runs rank 0 now.
     if (isEngineWaiting() && now >= m_nextHelloAt) {
         m_nextHelloAt = now + m_options.helloInterval;
         effects.push_back(SendHello { { m_options.rank, m_options.incarnation } });
--- a/src/expertmap/wire.cc
+++ b/src/expertmap/wire.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Thrown within this file only, and turned into an error at its edge.
+/// Thrown within this file only; `catchMalformed` converts it to an `Error`.
 struct Malformed {
     std::string text;
 };
@@ -18,7 +18,8 @@
         throw Malformed { text };
 }
 
-/// Runs `read`, which may meet bad values or bytes that Cap'n Proto refuses.
+/// Runs `read` and converts the exceptions it throws for invalid values or malformed Cap'n Proto messages to an
+/// `Error`.
 template <typename T, typename Read>
 Result<T> catchMalformed(Read&& read)
 {
@@ -27,7 +28,7 @@
     } catch (const Malformed& e) {
         return Error { ErrorCode::MalformedInput, e.text };
     } catch (const kj::Exception& e) {
-        return Error { ErrorCode::MalformedInput, fmt::format("a message can't be read: {}", e.getDescription().cStr()) };
+        return Error { ErrorCode::MalformedInput, fmt::format("malformed Cap'n Proto message: {}", e.getDescription().cStr()) };
     }
 }
 
@@ -39,8 +40,9 @@
 
 FencingNumber parseFence(schema::FencingNumber::Reader in)
 {
-    // A coordinator bids one above the highest number seen; one near the end of the range would leave nothing to bid.
-    require(in.getCounter() <= maxFenceCounter, "a fencing number is out of range");
+    // A coordinator takes a counter one above the highest counter seen. A counter near the end of the range would leave
+    // no higher one.
+    require(in.getCounter() <= maxFenceCounter, "fencing number out of range");
     return { in.getCounter(), Incarnation(in.getHolder()) };
 }
 
@@ -52,19 +54,19 @@
 
 SwitchPoint parsePoint(schema::SwitchPoint::Reader in)
 {
-    require(in.getStep() > 0, "a switch point names no step");
+    require(in.getStep() > 0, "switch point has step 0");
     return { MapVersion(in.getVersion()), StepNumber(in.getStep()) };
 }
 
 RankIndex parseRank(std::uint32_t rank)
 {
-    require(rank < maxRanks, "a rank is out of range");
+    require(rank < maxRanks, "rank out of range");
     return RankIndex(rank);
 }
 
 Incarnation parseIncarnation(std::uint64_t value)
 {
-    require(value != 0, "an incarnation is 0");
+    require(value != 0, "incarnation is 0");
     return Incarnation(value);
 }
 
@@ -92,10 +94,10 @@
     status.isReleased = in.getIsReleased();
     if (in.hasArmed())
         status.armed = parsePoint(in.getArmed());
-    require(status.armed || !status.isReleased, "an engine is released and not armed");
-    require(!status.armed || status.isAdmitted, "an engine is armed and not admitted");
+    require(status.armed || !status.isReleased, "engine status is released but not armed");
+    require(!status.armed || status.isAdmitted, "engine status is armed but not admitted");
     auto staged = in.getStaged();
-    require(staged.size() <= maxStagedMaps, "an engine has too many maps");
+    require(staged.size() <= maxStagedMaps, "engine status has too many staged maps");
     for (auto version : staged)
         status.staged.emplace_back(version);
     return status;
@@ -146,7 +148,7 @@
     case schema::RankOrder::Order::CANCEL:
         return Cancel { parsePoint(in.getCancel()) };
     }
-    throw Malformed { "an order of an unknown kind" };
+    throw Malformed { "order of unknown kind" };
 }
 
 } // namespace
@@ -216,7 +218,7 @@
             order.engine = Incarnation(in.getEngine());
         order.order = parseOrder(in.getOrder());
         bool isRead = std::holds_alternative<ReadStatus>(order.order);
-        require(isRead || order.engine, "an order names no life of its engine");
+        require(isRead || order.engine, "order has no engine incarnation");
         return order;
     });
 }
--- a/src/expertmap/wire.h
+++ b/src/expertmap/wire.h
@@ -7,11 +7,11 @@
 
 #include <span>
 
-/// Conversion between the types of the protocol and their Cap'n Proto messages. What comes in is not trusted: `parse`
-/// fails with `MalformedInput` on anything that the protocol could not have sent. Nothing here throws.
+/// Conversion between the types of the protocol and their Cap'n Proto messages. Received messages are not trusted:
+/// `parse` fails with `MalformedInput` on anything that the protocol could not have sent. No function throws.
 namespace swiftloft::expertmap::wire {
 
-/// Bounds of what is taken from a peer.
+/// Limits on values accepted from a peer.
 inline constexpr std::uint32_t maxRanks = 4096;
 inline constexpr std::size_t maxStagedMaps = 64;
 inline constexpr std::uint64_t maxFenceCounter = 1ULL << 62;
--- a/test/expertmap-wire_test.cc
+++ b/test/expertmap-wire_test.cc
@@ -115,7 +115,7 @@
     CHECK(isRejected(report));
     RankOrder order { { 4, Incarnation(8) }, 12, RankIndex(3), std::nullopt, Arm { point } };
     auto words = serialize<schema::RankOrder>(order);
-    CHECK(parseWords<schema::RankOrder>(words).error().message == "an order names no life of its engine");
+    CHECK(parseWords<schema::RankOrder>(words).error().message == "order has no engine incarnation");
 }
 
 TEST_CASE("Wire: random damage is refused or read as some good message, and never crashes")
