--- a/samples/expert-map-protocol.cc
+++ b/samples/expert-map-protocol.cc
@@ -8,8 +8,8 @@
 #include <algorithm>
 #include <vector>
 
-/// Plans a better expert map for a small group and takes the group over to it, without any daemon: the coordinator, the
-/// rank agents and the engines are objects in this process, and messages are queue entries.
+/// Plans a better expert map for a small group and changes the group to it, without any daemon: the coordinator, the
+/// rank agents and the engines are objects in this process, and messages are function calls.
 
 using namespace swiftloft;
 using namespace swiftloft::expertmap;
@@ -18,7 +18,7 @@
 
 constexpr MapShape shape { 4, 1, 8, 3 };
 
-/// An engine that does at once what it is told, and steps with the others.
+/// An engine that carries out each order at once and steps together with the others.
 struct Engine {
     EngineStatus status;
 
@@ -72,7 +72,8 @@
 
     void requestMap(MapVersion version) { execute(m_coordinator.apply(m_now, coordination::MapChangeRequested { version })); }
 
-    /// One step of the group, and a tick for everyone.
+    /// Sends a tick to every agent and the coordinator, then runs one step of the group if every engine may enter
+    /// it.
     void step()
     {
         m_now += milliseconds(6);
--- a/test/expertmap-agent_test.cc
+++ b/test/expertmap-agent_test.cc
@@ -14,7 +14,7 @@
 
 const SwitchPoint point { MapVersion(0xfedcba9876543210), StepNumber(77) };
 
-/// Two agents' transports on one loop.
+/// The transports of two agents on one event loop.
 class TransportPair {
 public:
     TransportPair(const std::string& firstGroup, const std::string& secondGroup)
@@ -31,7 +31,7 @@
 
     void send(const GroupMessage& message) { m_first->send(m_second->localEndpoint(), message); }
 
-    /// What the second got by `limit`, if anything.
+    /// Returns the messages that the second transport has received, waiting up to `limit` for the first one.
     std::vector<GroupMessage> received(milliseconds limit)
     {
         auto deadline = Clock::now() + limit;
@@ -56,7 +56,7 @@
 
 } // namespace
 
-TEST_CASE("Engine orders: each order reads back from its JSON")
+TEST_CASE("Engine orders: each order parses back from its JSON")
 {
     auto order = GENERATE(Order(ReadStatus {}), Order(StageMap { point.version }), Order(DropMaps { point.version }), Order(Admit { MapVersion(5), std::nullopt }),
         Order(Admit { MapVersion(5), point }), Order(Arm { point }), Order(Go { point }), Order(Cancel { point }));
@@ -67,7 +67,7 @@
     CHECK(read.order == sent.order);
 }
 
-TEST_CASE("Engine orders: a status reads back from its JSON")
+TEST_CASE("Engine orders: a status parses back from its JSON")
 {
     EngineStatus status { Incarnation(3), true, MapVersion(5), StepNumber(70), point, true, { MapVersion(5), point.version } };
     auto read = engine_json::parseResponse(engine_json::toJson(engine_json::EngineResponse { status, { 8, Incarnation(2) } })).value();
@@ -75,7 +75,7 @@
     CHECK(read.fence == FencingNumber { 8, Incarnation(2) });
 }
 
-TEST_CASE("Engine orders: what is no answer of an engine is refused")
+TEST_CASE("Engine orders: malformed orders and responses are rejected")
 {
     auto text = GENERATE("", "not json", "[]", "{}", R"({"engine":"x"})");
     CHECK_FALSE(engine_json::parseResponse(text).has_value());
@@ -93,7 +93,7 @@
         REQUIRE(got.size() == 1);
         CHECK(std::get<RankOrder>(got[0]).order == order.order);
     }
-    SECTION("the largest map of today's plans")
+    SECTION("the largest map currently planned")
     {
         auto map = ExpertMap::contiguous({ 64, 60, 64, 2 }).value();
         VersionedMap named { MapVersion(41), map };
@@ -104,8 +104,9 @@
     }
 }
 
-// An instance is moved to another group, and its old group's coordinator has not heard of it. Its orders arrive at the
-// address and name a rank that the new group has too; taken, they would arm an engine for a map it doesn't run.
+// An instance is moved to another group, and the coordinator of its old group does not know yet. That coordinator's
+// orders arrive at the instance's address and name a rank that the new group has too. If accepted, they would arm an
+// engine for a map that it doesn't run.
 TEST_CASE("Group transport: a message of another group is dropped")
 {
     TransportPair pair("old", "new");
--- a/test/expertmap-coordinator_test.cc
+++ b/test/expertmap-coordinator_test.cc
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Lets time pass and answers what is asked; returns all orders given meanwhile, without reads.
+    /// Advances the time in ticks and answers every order; returns the orders sent meanwhile, without reads.
     std::vector<RankOrder> tick(int times = 1)
     {
         std::vector<RankOrder> given;
@@ -41,7 +41,7 @@
         }
         return given;
     }
-    /// Lets time pass in which nothing is asked.
+    /// Advances the time without a tick.
     void advanceTime(milliseconds time) { m_now += time; }
     void requestMap(MapVersion version)
     {
@@ -58,7 +58,7 @@
     Coordinator coordinator { Coordinator::create({ Incarnation(9), ranks, first, ranks }).value() };
     EngineStatus statuses[ranks];
     std::vector<RankOrder> reads;
-    /// A rank that answers nothing.
+    /// A rank that answers no order.
     std::optional<std::uint32_t> silentRank;
 
     TimePoint now() const { return m_now; }
@@ -97,9 +97,9 @@
 
 TEST_CASE("Coordinator arms rank 0 before any other rank")
 {
-    // Two engines of a pair answer by different maps after two agents were replaced and one engine restarted. An old
-    // coordinator had collected the other rank's answer and armed its own engine last, when its successor had already
-    // looked. Armed first, the engine of rank 0 shows the switch point to every successor.
+    // Guards against ranks that run different maps after two agents were replaced and one engine restarted. An old
+    // coordinator, which had the other rank's answer, armed its own engine last, after its successor had already read
+    // it. If the engine of rank 0 is armed first, every successor finds the switch point there.
     Driver driver;
     driver.tick(2);
     for (auto& it : driver.statuses)
@@ -116,8 +116,9 @@
 
 TEST_CASE("Coordinator admits rank 0 alone when no rank is admitted")
 {
-    // After a power cut one rank runs another map than the rest. A forgotten order admitted it with an older map while
-    // the others were admitted with the one wanted now. All must follow one engine, so one goes first.
+    // Guards against one rank that runs another map than the rest after a power cut: a late order admitted it with an
+    // older map while the others were admitted with the one requested now. All ranks must follow one engine, so one is
+    // admitted first.
     Driver driver;
     for (auto& it : driver.statuses)
         it.isAdmitted = false;
@@ -135,8 +136,9 @@
 
 TEST_CASE("Coordinator reads all ranks again before it admits a restarted engine")
 {
-    // A restarted engine comes back with the map from before a switch. The others had switched since they were last
-    // asked, through orders of an earlier coordinator, and its agent is the first to speak.
+    // Guards against a restarted engine that is admitted with the map from before a switch. The others have switched
+    // since they were last read, by orders of an earlier coordinator, and the hello of the restarted engine's agent
+    // arrives first.
     Driver driver;
     driver.tick(2);
     driver.reads.clear();
@@ -150,10 +152,11 @@
     CHECK(std::get<Admit>(orders.back().order).version == second);
 }
 
-TEST_CASE("Coordinator sees a switch through though another map is wanted meanwhile")
+TEST_CASE("Coordinator completes a switch though another map is requested meanwhile")
 {
-    // An operator saves the settings twice. The order to arm of the first change may be under way when the second is
-    // wanted; were it forgotten, rank 0 would hold for a map that the others had dropped, until they load it again.
+    // An operator saves the settings twice. The order to arm for the first change may be in transit when the second is
+    // requested. If the coordinator abandoned the first, rank 0 would hold for a map that the other ranks have dropped,
+    // until they have loaded it again.
     Driver driver;
     driver.tick(2);
     for (auto& it : driver.statuses)
@@ -169,9 +172,9 @@
     CHECK(std::get<Arm>(orders.back().order).point.version == second);
 }
 
-TEST_CASE("Coordinator names the ranks that have fallen silent")
+TEST_CASE("Coordinator lists the ranks that have stopped reporting")
 {
-    // A group holds and an operator has to know which agent to restart.
+    // When a group holds, an operator must be able to see which agent to restart.
     Driver driver;
     driver.tick(2);
     auto before = driver.now();
@@ -182,10 +185,10 @@
     CHECK(driver.coordinator.ranksWithoutStatus().empty());
 }
 
-TEST_CASE("Coordinator hears all ranks while some load")
+TEST_CASE("Coordinator reads all ranks while some load weights")
 {
-    // Two ranks load for minutes from a slow weight store. The third, which has its weights, must not pass for silent:
-    // the operator would restart a healthy agent.
+    // Two ranks load for minutes from a slow weight store. The third rank, which has its weights, must not be listed as
+    // silent, or the operator would restart a healthy agent.
     Driver driver;
     driver.tick(2);
     driver.statuses[2].staged.push_back(second);
@@ -195,10 +198,11 @@
     CHECK(driver.coordinator.silentRanks(driver.now() - seconds(3)).empty());
 }
 
-TEST_CASE("Rank agent refuses an order with an older fencing number and says which is newer")
+TEST_CASE("Rank agent refuses an order with an older fencing number and reports the newer one")
 {
-    // An operator sees a rank load weights that nobody wants. A coordinator that woke up late orders it, and its engine
-    // ignores fencing numbers; the agent in its slot does not.
+    // Guards against a rank that loads weights of a map that is no longer requested. The order comes from a superseded
+    // coordinator that was frozen and woke up. The engine ignores fencing numbers, but the agent in its slot checks
+    // them.
     auto agent = RankAgent::create({ RankIndex(1), Incarnation(5) }).value();
     TimePoint now;
     agent.start(now);
@@ -214,10 +218,11 @@
     CHECK(std::get<rank::SendReport>(effects[1]).to == older.holder);
 }
 
-TEST_CASE("Rank agent whose engine holds asks rank 0 what is decided")
+TEST_CASE("Rank agent whose engine holds sends a hello to rank 0")
 {
-    // A group stands still though its coordinator is well: an order that came out of nowhere armed one engine, and the
-    // coordinator reads idle ranks only now and then. The agent of the held rank speaks up.
+    // Guards against a group that holds although its coordinator works: a late order of an earlier coordinator armed
+    // one engine, and the coordinator reads idle ranks only at long intervals. The agent of the held rank sends a
+    // hello.
     auto agent = RankAgent::create({ RankIndex(1), Incarnation(5) }).value();
     TimePoint now;
     agent.start(now);
@@ -231,13 +236,13 @@
 
 namespace {
 
-/// Steps from the newest one to the switch that is armed, in a group whose steps take `stepTime`.
+/// Number of steps from the newest step to the armed switch step, in a group whose steps take `stepTime`.
 std::uint64_t leadStepsFor(milliseconds stepTime)
 {
     Driver driver(milliseconds(85));
     auto begin = driver.now();
     driver.requestMap(second);
-    // Ranks load the map for a second, and are read meanwhile.
+    // The ranks load the map for a second and are read meanwhile.
     for (int n = 0; n < 100; ++n) {
         StepNumber newest(10 + static_cast<std::uint64_t>((driver.now() - begin) / stepTime));
         for (auto& status : driver.statuses) {
@@ -253,7 +258,7 @@
     return 0;
 }
 
-/// The switch step of the first rank that is armed.
+/// Switch step of the first order to arm.
 StepNumber firstArmedStep(Driver& driver)
 {
     for (int n = 0; n < 20; ++n) {
@@ -267,8 +272,8 @@
 
 } // namespace
 
-// Demand has shifted, and steps take three times as long until the map has followed. A lead counted in steps is then three
-// times as long as well, just when each moment with the old map costs most.
+// After a shift in demand, steps take three times as long until the map has been changed. A lead counted in steps would
+// then take three times as long as well, just when running with the old map costs most.
 TEST_CASE("Coordinator: the lead is as many steps as arming all ranks takes")
 {
     CHECK(leadStepsFor(milliseconds(20)) == 5);
@@ -276,9 +281,10 @@
     CHECK(leadStepsFor(milliseconds(200)) == 1);
 }
 
-// Two ranks are read a millisecond apart, one before and one behind the begin of a step of 80 ms. A step passes for that short;
-// the switch is put 64 steps ahead, and the group runs on with uneven ranks for seconds.
-TEST_CASE("Coordinator: ranks read around the begin of a step don't make steps look short")
+// Guards against a step time that is measured too short: two ranks are read a millisecond apart, one before and one
+// after the start of a step of 80 ms. The step would be taken to last a millisecond, the switch would be scheduled 64
+// steps ahead, and the group would run with uneven load for seconds.
+TEST_CASE("Coordinator: reads just before and after the start of a step don't shorten the measured step time")
 {
     Driver driver(milliseconds(85));
     driver.tick(4);
@@ -286,7 +292,7 @@
         for (auto& status : driver.statuses)
             status.entered = StepNumber(step);
     };
-    // Ranks are read every other step, the second one just after the step that the first one showed.
+    // Two ranks are read every other step, the second one just after the end of the step that the first one reported.
     for (std::uint64_t step = 100; step < 130; step += 2) {
         driver.advanceTime(milliseconds(159));
         enter(step);
--- a/test/expertmap-failures_test.cc
+++ b/test/expertmap-failures_test.cc
@@ -50,7 +50,7 @@
     CHECK(group.mixedStep() == 0);
 }
 
-/// An order as a coordinator with this fencing number gives it.
+/// An order as a coordinator with this fencing counter sends it.
 EngineOrder orderFrom(std::uint64_t counter, const Order& order)
 {
     return { 1, { counter, Incarnation(7) }, order };
@@ -58,11 +58,11 @@
 
 } // namespace
 
-TEST_CASE("Coordinator killed between its confirms: the held ranks follow those that went on")
+TEST_CASE("Coordinator killed between its confirmations: the held ranks follow those that have switched")
 {
-    // Callers of a group see it stop for good, or see nonsense. The coordinator dies after one rank was told to go and
-    // has entered the switch step with the new map; the others hold. Its successor knows nothing of the change: it has
-    // to ask, and must not take the change back.
+    // Guards against a group that stops for good or returns wrong results. The coordinator dies after one rank was sent
+    // `Go` and has entered the switch step with the new map, while the others hold. Its successor does not know about
+    // the change: it has to read the ranks and must not cancel the change.
     auto group = makeSteppingGroup();
     group.requestMap(second);
     REQUIRE(runUntilPhase(group, CoordinatorPhase::Confirming));
@@ -78,10 +78,10 @@
     checkConverges(group, second);
 }
 
-TEST_CASE("Coordinator killed when all ranks are armed: its successor goes forward")
+TEST_CASE("Coordinator killed when all ranks are armed: its successor completes the switch")
 {
-    // A group is held at the switch step and nobody has been told to go. An order to go of the dead coordinator may
-    // still lie in a socket, so taking the change back would let one rank go on with the new map alone.
+    // The group holds at the switch step and no rank has received a `Go`. A `Go` of the dead coordinator may still be
+    // in a socket buffer, so cancelling the change could let a single rank continue with the new map.
     auto group = makeSteppingGroup();
     group.requestMap(second);
     REQUIRE(runUntilPhase(group, CoordinatorPhase::Confirming));
@@ -91,10 +91,10 @@
     checkConverges(group, second);
 }
 
-TEST_CASE("Coordinator frozen and woken after its replacement: it steps down and disturbs nothing")
+TEST_CASE("Coordinator frozen and woken after its replacement: it steps down without effect on the group")
 {
-    // An operator replaces a hung agent; minutes later the old process wakes and goes on with a change that its
-    // successor has finished, and wants a third map. Its fencing number is older, so no rank follows it.
+    // An operator replaces a hung agent. Minutes later the old process wakes and continues with a change that its
+    // successor has finished, and requests a third map. Its fencing number is older, so no rank follows it.
     for (bool checksFences : { false, true }) {
         CAPTURE(checksFences);
         auto group = makeSteppingGroup({ 4, checksFences });
@@ -114,8 +114,9 @@
 
 TEST_CASE("Late order to arm, on an engine that ignores fencing numbers: the group settles on one map")
 {
-    // One rank suddenly holds while nobody changes maps. An agent frozen long ago wakes and writes its order straight
-    // to an engine that does not check who gives it. The switch point lies ahead; every rank must take it or none.
+    // Guards against one rank that holds while no change is in progress. An agent that was frozen long ago wakes and
+    // writes its order straight to an engine that does not check fencing numbers. The switch point lies ahead; either
+    // every rank must switch there or none.
     for (std::uint32_t rank : { 0u, 3u }) {
         CAPTURE(rank);
         auto group = makeSteppingGroup();
@@ -127,10 +128,10 @@
     }
 }
 
-TEST_CASE("Late orders to go and to cancel: an engine that is not armed for that point ignores them")
+TEST_CASE("Late orders to go and to cancel: an engine that is not armed for their switch point ignores them")
 {
-    // A frozen agent wakes and writes an order of a change that has long been finished or taken back. The engine
-    // ignores fencing numbers. The order names its switch point, and the engine is not armed for that one.
+    // A frozen agent wakes and writes an order of a change that has long been finished or cancelled. The engine ignores
+    // fencing numbers, but the order names its switch point and the engine is not armed for that one.
     auto group = makeSteppingGroup();
     SwitchPoint old { third, StepNumber(3) };
     group.writeToEngine(1, orderFrom(1, Go { old }));
@@ -143,8 +144,8 @@
 
 TEST_CASE("Engine restarted while the group holds: it comes back armed")
 {
-    // An engine dies just as the last rank is armed, and its instance brings it back without a map, or with the one it
-    // was first started with. If it stepped with that one, the others would go on with the new map beside it.
+    // An engine dies just as the last rank is armed, and its instance restarts it without a map or with the map that it
+    // was first started with. If the engine stepped with that map, the others would run the new map at the same time.
     for (bool hasOldMap : { false, true }) {
         CAPTURE(hasOldMap);
         auto group = makeSteppingGroup();
@@ -157,8 +158,8 @@
 
 TEST_CASE("Whole group restarted: rank 0 is admitted first and the others follow its map")
 {
-    // After a power cut all engines start empty. An order of the coordinator before it admits rank 0 with another map
-    // than the one that is wanted now. Were ranks admitted all at once, two maps would run side by side.
+    // After a power cut all engines start empty. A late order of an earlier coordinator admits rank 0 with another map
+    // than the one requested now. If all ranks were admitted at once, two maps would run at the same time.
     auto group = makeSteppingGroup();
     group.requestMap(second);
     REQUIRE(group.runUntil([&] { return group.allRun(second); }, 600));
@@ -168,10 +169,10 @@
     checkConverges(group, second);
 }
 
-TEST_CASE("Weight store down: the group goes on stepping with the old map and changes when it can")
+TEST_CASE("Weight store down: the group keeps stepping with the old map and changes once the store is back")
 {
-    // Drafts must not stall while the weight store is away. Staging runs beside the steps and nothing is armed before
-    // every rank has the map, so an outage of any length costs no step.
+    // Requests must not stall while the weight store is unreachable. Staging runs beside the steps and no rank is armed
+    // before every rank has the map, so an outage of any length delays no step.
     auto group = makeSteppingGroup();
     group.setStoreUp(false);
     group.requestMap(second);
@@ -184,10 +185,11 @@
     CHECK(group.heldTurns() == held);
 }
 
-TEST_CASE("Settings edited in the middle: a change is withdrawn before it is armed and seen through after")
+TEST_CASE("Settings edited during a change: it is withdrawn before a rank is armed and completed after that")
 {
-    // An operator changes the weights while a change is under way. Before any rank is armed the old map stays; later
-    // the group first finishes and then follows the newer wish. No rank is left holding.
+    // An operator changes the weights in the settings while a change is in progress. Before any rank is armed, the
+    // group keeps the old map. Later the group first finishes the change and then follows the newer request. No rank is
+    // left holding.
     auto group = makeSteppingGroup();
     group.requestMap(second);
     REQUIRE(runUntilPhase(group, CoordinatorPhase::Staging));
@@ -205,10 +207,10 @@
     CHECK(group.finished()[0].version == second);
 }
 
-TEST_CASE("Switch step chosen too near: the change is put off and no rank stays held")
+TEST_CASE("Switch step chosen too close: the change is postponed and no rank stays held")
 {
-    // A group hangs at a step after a map change was begun. Messages took longer than the lead, so some rank entered the
-    // switch step with the old map while rank 0 was armed and holds it.
+    // Guards against a group that hangs at a step during a map change. Messages take longer than the lead, so some rank
+    // enters the switch step with the old map while rank 0 is armed and holds.
     auto group = makeSteppingGroup({ 4, false, 20, 9, { 60, 0, 0 } });
     group.requestMap(second);
     group.run(800);
@@ -216,9 +218,10 @@
     checkConverges(group, second, 2000);
 }
 
-TEST_CASE("Order for an earlier life of the engine: the agent does not pass it on")
+TEST_CASE("Order for an earlier incarnation of the engine: the agent does not forward it")
 {
-    // A rank holds for ever after its engine restarted. The order had been decided upon for the life before.
+    // Guards against a rank that holds forever after its engine restarted: the order was meant for the engine's earlier
+    // incarnation.
     auto agent = RankAgent::create({ RankIndex(1), Incarnation(5), true }).value();
     TimePoint now;
     agent.start(now);
@@ -235,10 +238,10 @@
     CHECK(std::get<rank::SendReport>(effects[0]).report.status == status);
 }
 
-TEST_CASE("Answer that was given up as late: it is not taken for that of the next order")
+TEST_CASE("Response after its timeout: it is not taken for the response to the next order")
 {
-    // The status page shows a rank as armed that is not. The engine answered a read after its deadline, while the next
-    // one was in flight.
+    // Guards against a status page that shows a rank as armed although it is not. The engine responded to a read after
+    // the deadline, while the next read was in flight.
     auto agent = RankAgent::create({ RankIndex(1), Incarnation(5) }).value();
     TimePoint now;
     agent.start(now);
@@ -249,7 +252,7 @@
     CHECK_FALSE(agent.status());
 }
 
-TEST_CASE("Coordinator and rank agent refuse options that can't work")
+TEST_CASE("Coordinator and rank agent reject invalid options")
 {
     CHECK(Coordinator::create({ Incarnation(0), 4 }).error().code == ErrorCode::InvalidArgument);
     CHECK(Coordinator::create({ Incarnation(1), 0 }).error().code == ErrorCode::InvalidArgument);
--- a/test/expertmap-fake-engine.h
+++ b/test/expertmap-fake-engine.h
@@ -6,13 +6,13 @@
 
 namespace swiftloft::expertmap::rig {
 
-/// An engine with the conditional orders that the protocol asks for. It remembers nothing over a restart.
+/// A fake engine that implements the conditional orders of the protocol. It keeps no state across a restart.
 struct FakeEngine {
     EngineStatus status;
     bool checksFences { false };
     FencingNumber highest;
     bool isUp { true };
-    /// Turns until the map being loaded is staged; loading runs beside the steps.
+    /// Turns until each map being loaded is staged. Loading runs beside the steps.
     std::map<MapVersion, int> loading;
 
     void apply(const EngineOrder& order, int loadTurns)
@@ -74,7 +74,7 @@
             status.armed.reset();
     }
 
-    /// Enters `step` if nothing holds it.
+    /// Enters `step` unless the engine is down, not admitted or held; returns whether it entered.
     bool enter(StepNumber step)
     {
         if (!isUp || !status.isAdmitted)
--- a/test/expertmap-fake-group.h
+++ b/test/expertmap-fake-group.h
@@ -15,8 +15,9 @@
 #include <string>
 #include <vector>
 
-/// A fake rank group for the protocol tests: engines in lock-step, the agents of their slots, and a bag of messages that
-/// are delayed, doubled, reordered and lost by a seed. One turn of the rig is one step time.
+/// A fake rank group for the protocol tests: engines in lock-step, the agents of their slots, and a message queue that
+/// delays, duplicates, reorders and loses messages at random by a seed. One turn of the group takes the time of one
+/// step.
 namespace swiftloft::expertmap::rig {
 
 enum class ProcessState {
@@ -25,15 +26,15 @@
     Dead,
 };
 
-/// One agent process. A frozen one keeps its inbox and its unwritten engine orders, and carries on when it wakes,
-/// replaced or not.
+/// One agent process. A frozen process keeps its inbox and its unsent engine orders, and continues when it wakes,
+/// whether it has been replaced or not.
 struct AgentProcess {
     Incarnation incarnation;
     std::uint32_t slot { 0 };
     RankAgent agent;
     std::optional<Coordinator> coordinator;
     ProcessState state { ProcessState::Running };
-    /// The engine life its connection leads to; the connection dies with that life.
+    /// The engine incarnation that the process is connected to. The connection breaks when that incarnation ends.
     Incarnation engine;
 };
 
@@ -69,7 +70,7 @@
 
     static constexpr MapVersion initial { 100 };
 
-    // Faults.
+    // Fault injection.
     void killAgent(std::uint32_t slot)
     {
         if (m_slots[slot])
@@ -121,8 +122,8 @@
             engine.status.current = *oldMap;
         }
         m_enteredRanks.erase(r);
-        // What a life of an engine did of an unfinished step goes with it (see "What the platform must give" in the
-        // design note); the new life enters the step again.
+        // The work of an engine on an unfinished step is lost with its incarnation (see "What the platform must give"
+        // in the design note); the new incarnation enters the step again.
         m_mapsByStep[m_completed + 1].erase(r);
         for (std::size_t n = 0; n < m_processes.size(); ++n) {
             auto process = m_processes[n];
@@ -145,7 +146,7 @@
         applyToCoordinator(coordination::MapChangeWithdrawn {});
     }
 
-    /// One step time: messages, ticks, then every engine that may enters the step.
+    /// Runs one turn: delivers messages, sends ticks, and lets every engine that may do so enter the step.
     void turn()
     {
         ++m_turn;
@@ -161,7 +162,7 @@
         for (int n = 0; n < turns; ++n)
             turn();
     }
-    /// Runs until `done` or the bound; true when done.
+    /// Runs until `done` returns true or for `bound` turns; returns whether `done` holds.
     template <typename Done>
     bool runUntil(Done&& done, int bound)
     {
@@ -170,7 +171,7 @@
         return done();
     }
 
-    // What the tests look at.
+    // State observed by the tests.
     std::uint64_t completedSteps() const { return m_completed; }
     std::uint64_t heldTurns() const { return m_heldTurns; }
     const FakeEngine& engine(std::uint32_t r) const { return m_engines[r]; }
@@ -182,7 +183,7 @@
     {
         return std::all_of(m_engines.begin(), m_engines.end(), [&](auto& it) { return it.status.isAdmitted && it.status.current == version && !it.status.armed; });
     }
-    /// The first step whose ranks used more than one map; 0 if none did.
+    /// The first step that ranks entered with more than one map; 0 if there is none.
     std::uint64_t mixedStep() const
     {
         for (auto& step : m_mapsByStep) {
@@ -193,13 +194,13 @@
         return 0;
     }
     const std::vector<SwitchPoint>& finished() const { return m_finished; }
-    /// Hands an order straight to an engine, as a process outside the group's agents could.
+    /// Passes an order straight to an engine, as a process other than the group's agents could do.
     void writeToEngine(std::uint32_t r, const EngineOrder& order) { m_engines[r].apply(order, m_settings.loadTurns); }
 
 private:
     struct Message {
         std::uint64_t at { 0 };
-        /// Rank whose slot it goes to, or the process if set.
+        /// Rank to whose slot the message goes, unless `process` is set.
         std::uint32_t slot { 0 };
         std::shared_ptr<AgentProcess> process;
         std::variant<RankOrder, RankReport, RankHello, EngineOrder, rank::EngineResponded> body;
@@ -280,7 +281,7 @@
         std::shuffle(batch.begin(), batch.end(), m_random);
         for (auto& message : batch)
             deliver(message);
-        // The platform restarts an agent that gave up rank 0 though the slot is still its own.
+        // The platform restarts an agent whose coordinator stepped down while the agent still runs rank 0.
         if (std::exchange(m_isRestartDue, false)) {
             killAgent(0);
             startAgent(0);
@@ -301,7 +302,7 @@
                 return;
             }
             auto& engine = m_engines[message.slot];
-            // A connection to an earlier life of the engine is broken.
+            // A connection to an earlier incarnation of the engine is broken.
             if (!engine.isUp || engine.status.engine != message.engine)
                 return;
             engine.apply(*it, m_settings.loadTurns);
@@ -361,10 +362,10 @@
     std::mt19937_64 m_random;
     std::vector<FakeEngine> m_engines;
     std::vector<std::shared_ptr<AgentProcess>> m_slots;
-    /// Every process there ever was, also killed, frozen and replaced ones.
+    /// All processes ever started, including killed, frozen and replaced ones.
     std::vector<std::shared_ptr<AgentProcess>> m_processes;
     std::vector<Message> m_messages;
-    /// For each step, the map each rank entered it with.
+    /// For each step, the map with which each rank entered it.
     std::map<std::uint64_t, std::map<std::uint32_t, MapVersion>> m_mapsByStep;
     std::set<std::uint32_t> m_enteredRanks;
     std::vector<SwitchPoint> m_finished;
--- a/test/expertmap-protocol_test.cc
+++ b/test/expertmap-protocol_test.cc
@@ -19,7 +19,7 @@
     return group;
 }
 
-/// The check of every test here: no step mixed maps, and after the faults the group steps and runs `version`.
+/// Checks that no step was run with two maps, and that after the faults the group steps and runs `version`.
 void checkConverges(rig::FakeGroup& group, MapVersion version, int bound = 600)
 {
     CHECK(group.runUntil([&] { return group.allRun(version); }, bound));
@@ -82,7 +82,7 @@
     }
 }
 
-/// The slot gets its agent back, and what was stopped runs again.
+/// Ends the fault: the slot has an agent again, and the weight store is up.
 void endFault(rig::FakeGroup& group, Fault fault, std::uint32_t rank)
 {
     if (fault == Fault::FreezeReplaceAndWake)
@@ -93,13 +93,14 @@
         group.setStoreUp(true);
 }
 
-/// Seeds tried of the sweep over two faults; each is some 300 turns of a group.
+/// Number of seeds in the test of two faults; each runs a group for some 300 turns.
 constexpr int doubleFaultRuns = 2000;
 
 struct Scenario {
     Fault fault { Fault::KillAgent };
     std::uint32_t rank { 0 };
-    /// Turns from the wish for the second map to the fault, and on to its end and to the waking of frozen processes.
+    /// Turns from the request for the second map to the fault, from there to its end, and from there until frozen
+    /// processes wake.
     int at { 0 };
     int length { 0 };
     int wakeAfter { 0 };
@@ -152,9 +153,9 @@
 
 TEST_CASE("Map change: one fault at any turn, on any rank, leaves one map in every step")
 {
-    // Users see a group that stalls or answers nonsense after a restart. One agent, engine or instance fails at some
-    // turn of a change, from before staging to after the last confirm, and comes back; frozen processes wake after
-    // their replacement has started. Messages meanwhile are late, doubled, reordered and lost.
+    // Guards against a group that stalls or returns wrong results after a restart. One agent, engine or instance fails
+    // at some turn of a change, from before staging to after the last confirmation, and recovers; frozen processes wake
+    // after their replacement has started. Meanwhile messages are delayed, duplicated, reordered and lost.
     for (bool checksFences : { false, true }) {
         for (auto fault : faults) {
             for (std::uint32_t rank : { 0u, 2u }) {
@@ -170,8 +171,8 @@
 
 TEST_CASE("Map change: two faults together leave one map in every step")
 {
-    // Users see the same after a rack fails: two ranks go at once or shortly after one another, rank 0 among them or
-    // not, and old processes of both slots wake up late and write what they had decided long ago.
+    // Guards against the same after a rack fails: two ranks fail at once or shortly after one another, with or without
+    // rank 0, and old processes of both slots wake up late and send orders that they decided on long ago.
     std::mt19937_64 random(2026);
     auto draw = [&](int low, int high) { return std::uniform_int_distribution<int>(low, high)(random); };
     for (int n = 0; n < doubleFaultRuns; ++n) {
@@ -191,7 +192,7 @@
 constexpr const char* faultNames[] = { "agent killed", "agent frozen", "agent frozen, replaced", "engine restarted empty", "engine restarted with old map",
     "instance restarted", "weight store down" };
 
-/// Turns in which the group stood, for each turn of a change at which the fault began.
+/// Numbers of turns in which the group held, one for each turn of a change at which the fault began, in rising order.
 std::vector<std::uint64_t> sortedHeldTurns(Fault fault, std::uint32_t rank, int length)
 {
     std::vector<std::uint64_t> heldTurns;
@@ -206,8 +207,9 @@
 
 TEST_CASE("Map change: a fault stops the group for no longer than it lasts and a bounded number of steps")
 {
-    // Callers wait while a group holds. The outage of an agent stops the group only if a switch step comes up meanwhile;
-    // a restarted engine stops it until it has loaded the current map, perhaps the next one too, and is admitted.
+    // Callers wait while a group holds. The outage of an agent stops the group only if a switch step is reached
+    // meanwhile. A restarted engine stops the group until it has loaded the current map, and possibly the next one, and
+    // is admitted.
     constexpr int outage = 30;
     constexpr std::uint64_t loadTurns = 20;
     constexpr std::uint64_t maxResolveTurns = 2 * loadTurns + 40;
@@ -231,7 +233,7 @@
         for (auto fault : faults) {
             for (std::uint32_t rank : { 0u, 2u }) {
                 auto heldTurns = sortedHeldTurns(fault, rank, outage);
-                fmt::print("outage {:3} turns, {:30} rank {}: median {:3} p90 {:3} most {:3}\n", outage, faultNames[static_cast<int>(fault)], rank, heldTurns[heldTurns.size() / 2],
+                fmt::print("outage {:3} turns, {:30} rank {}: median {:3} p90 {:3} max {:3}\n", outage, faultNames[static_cast<int>(fault)], rank, heldTurns[heldTurns.size() / 2],
                     heldTurns[heldTurns.size() * 9 / 10], heldTurns.back());
             }
         }
--- a/test/expertmap-wire_test.cc
+++ b/test/expertmap-wire_test.cc
@@ -15,7 +15,7 @@
 
 constexpr SwitchPoint point { MapVersion(7), StepNumber(40) };
 
-/// A message as it would be sent, in words of eight bytes.
+/// A serialized message, in words of eight bytes.
 using Words = std::vector<std::uint64_t>;
 
 template <typename Schema, typename T>
@@ -67,7 +67,7 @@
 
 } // namespace
 
-TEST_CASE("Wire: each order and report is read back as it was sent")
+TEST_CASE("Wire: each order and report parses back to what was sent")
 {
     std::vector<Order> orders { ReadStatus {}, StageMap { MapVersion(7) }, DropMaps { MapVersion(6) }, Admit { MapVersion(6), std::nullopt },
         Admit { MapVersion(6), point }, Arm { point }, Go { point }, Cancel { point } };
@@ -91,9 +91,9 @@
     CHECK(parseWords<schema::ExpertMap>(words).value() == map);
 }
 
-TEST_CASE("Wire: what no peer could have meant is refused")
+TEST_CASE("Wire: invalid messages are rejected")
 {
-    // A damaged or hostile message must not move a rank. Each of these was read as if it were good before it was checked.
+    // A damaged or hostile message must not affect a rank. Without these checks each of the messages was accepted.
     auto isRejected = [](const RankReport& report) {
         auto words = serialize<schema::RankReport>(report);
         return !parseWords<schema::RankReport>(words).has_value();
@@ -118,7 +118,7 @@
     CHECK(parseWords<schema::RankOrder>(words).error().message == "order has no engine incarnation");
 }
 
-TEST_CASE("Wire: random damage is refused or read as some good message, and never crashes")
+TEST_CASE("Wire: randomly damaged messages are rejected or parse as valid ones, and never crash")
 {
     std::mt19937_64 random(7);
     corruptAndParse<schema::RankReport>(sampleReport(), random);
--- a/test/process/expert-maps_test.cc
+++ b/test/process/expert-maps_test.cc
@@ -18,7 +18,7 @@
 constexpr std::size_t ranks = 4;
 constexpr seconds waitTimeout { 20 };
 
-/// Four engines that step as one group, two experts a rank and one spare slot each, with reports that count at once.
+/// Four engines that step as one group, with two experts and one spare slot per rank. Reports take effect at once.
 Fleet::Options groupOf(std::vector<std::string> engineOptions)
 {
     Fleet::Options options;
@@ -59,7 +59,7 @@
     return engine && engine->is_object() ? engine->at("staged").as_array().size() : 0;
 }
 
-/// The maps that the group's engines entered each step with.
+/// For each step, the maps with which the group's engines entered it.
 std::map<std::uint64_t, std::set<std::uint64_t>> mapsByStep(Fleet& fleet)
 {
     std::map<std::uint64_t, std::set<std::uint64_t>> maps;
@@ -97,7 +97,7 @@
     return waitUntil(Clock::now() + waitTimeout, [&] { return newestStep(fleet) > begin + 20; });
 }
 
-/// One expert of the eight gets half of all tokens from now on: worth a replica.
+/// Routes half of all tokens to one of the eight experts from now on, which makes a replica of that expert worthwhile.
 void makeOneExpertHot(Fleet& fleet)
 {
     callJson({ fleet.engine(0).backendAddress(), "POST", "/admin/demand", R"({"tokens":[7000,1000,1000,1000,1000,1000,1000,1000]})" });
@@ -105,9 +105,9 @@
 
 } // namespace
 
-// Demand for one expert rises while a group of four steps. The group is to give it a replica without standing, and no
-// step may be run with the old map by one rank and the new one by another: its tokens would meet the wrong experts.
-TEST_CASE("Expert maps: a group changes its map while stepping and mixes none")
+// Demand for one expert rises while a group of four steps. The group must add a replica without a pause, and in no step
+// may one rank run the old map and another the new one: tokens would be sent to the wrong experts.
+TEST_CASE("Expert maps: a group changes its map while stepping and never mixes maps in a step")
 {
     auto checksFencing = GENERATE("yes", "no");
     Fleet fleet(groupOf({ "--check-fencing", checksFencing }));
@@ -121,9 +121,9 @@
     CHECK(mixedSteps(fleet) == 0);
 }
 
-// The agent of rank 0 is killed while the ranks load a new map, and starts anew with no memory of the change. The group
-// steps on meanwhile, as loading holds nobody, and changes later; every step has one map.
-TEST_CASE("Expert maps: the coordinator is killed while ranks load and the group mixes no maps")
+// The agent of rank 0 is killed while the ranks load a new map, and restarts without knowledge of the change. The group
+// keeps stepping, as loading holds no rank, and changes later; every step has one map.
+TEST_CASE("Expert maps: the coordinator is killed while ranks load and no step mixes maps")
 {
     Fleet fleet(groupOf({ "--map-load-ms", "150" }));
     REQUIRE(waitUntilStepping(fleet));
@@ -140,11 +140,11 @@
     CHECK(mixedSteps(fleet) == 0);
 }
 
-// The agent of rank 1 freezes just after its engine has loaded the new map. The other engines are armed and wait at the
-// switch step; that of rank 1 is not and enters it with the old map. Then the agent of rank 0 is killed. The one that
-// starts in its place has no memory and finds armed engines: before it has heard rank 1 it may let none of them go, and
-// then only with the old map. The change comes later.
-TEST_CASE("Expert maps: the coordinator is killed while ranks are armed and the group mixes no maps")
+// The agent of rank 1 freezes just after its engine has loaded the new map. The other engines are armed and hold at the
+// switch step; the engine of rank 1 is not armed and enters that step with the old map. Then the agent of rank 0 is
+// killed. Its replacement has no knowledge of the change and finds armed engines: it may release none of them before
+// rank 1 has reported, and then only with the old map. The change takes place later.
+TEST_CASE("Expert maps: the coordinator is killed while ranks are armed and no step mixes maps")
 {
     Fleet fleet(groupOf({ "--map-load-ms", "150", "--check-fencing", "no" }));
     REQUIRE(waitUntilStepping(fleet));
@@ -169,9 +169,10 @@
     CHECK(mixedSteps(fleet) == 0);
 }
 
-// After a change, the instance of rank 2 is replaced: its new engine has no map and its new agent knows only the map that
-// groups begin with. Let in with that one it would mix maps; the group stands until it has the one in use.
-TEST_CASE("Expert maps: a replaced instance joins with the map that its group uses now")
+// After a change, the instance of rank 2 is replaced: its new engine has no map, and its new agent knows only the
+// initial map of the group. If the engine were admitted with that map, the group would mix maps; the group holds until
+// the engine has the map in use.
+TEST_CASE("Expert maps: a replaced instance joins with the current map of its group")
 {
     Fleet fleet(groupOf({}));
     REQUIRE(waitUntilStepping(fleet));
