--- a/bench/expertmap-bench.cc
+++ b/bench/expertmap-bench.cc
@@ -41,7 +41,7 @@
     return { { 64, arguments.layers, 64, 2 }, { 4, arguments.layers, 16, 5 } };
 }
 
-void printFigures(const Trace& trace, const std::vector<Figures>& runs)
+void printFigures(const Trace& trace, const std::vector<ReplayResult>& runs)
 {
     auto& fixed = runs[0];
     auto& repack = runs[1];
@@ -50,7 +50,7 @@
         "GB moved", "experts", "changes", "disturbed", "quiet", "p99/repack", "% bytes");
     for (auto& it : runs) {
         double bytes = repack.expertsMoved ? 100.0 * static_cast<double>(it.expertsMoved) / static_cast<double>(repack.expertsMoved) : 0;
-        fmt::print("  {:8} {:8.3f} {:8.3f} {:9.3f} {:10.1f} {:9} {:8} {:9} {:7} {:11.3f} {:9.2f}\n", it.policy, it.skewP50, it.skewP99, it.overLowerBound,
+        fmt::print("  {:8} {:8.3f} {:8.3f} {:9.3f} {:10.1f} {:9} {:8} {:9} {:7} {:11.3f} {:9.2f}\n", it.policy, it.skewP50, it.skewP99, it.ratioToLowerBound,
             static_cast<double>(it.bytesMoved.value()) / 1e9, it.expertsMoved, it.mapChanges, it.stepsDisturbed, it.movedInQuietHours,
             it.skewP99 / repack.skewP99, bytes);
     }
@@ -65,7 +65,7 @@
 {
     auto initial = ExpertMap::even(trace.shape).value();
     ReplayOptions options;
-    std::vector<Figures> runs;
+    std::vector<ReplayResult> runs;
     for (auto& policy : allPolicies(initial))
         runs.push_back(replay::replay(trace, initial, policy, options));
     printFigures(trace, runs);
@@ -73,10 +73,10 @@
         std::ofstream(std::filesystem::path(arguments.svgFolder) / (trace.name + ".svg")) << bench::plot(trace, runs, options.bytesPerExpert);
 }
 
-void printDetection(const DetectionFigures& it)
+void printDetection(const DetectionResult& it)
 {
     fmt::print("  {:20} factor {:.2f}, {:2} in a row: precision {:.3f} recall {:.3f} F1 {:.3f} found {:2}/{:2} steps to detect {:6.1f}\n", toString(it.setting.kind),
-        it.setting.factor, it.setting.persistence, it.precision(), it.recall(), it.f1(), it.stretchesFound, it.stretches, it.stepsToDetect);
+        it.setting.factor, it.setting.persistence, it.precision(), it.recall(), it.f1(), it.slowPeriodsDetected, it.slowPeriods, it.stepsToDetect);
 }
 
 /// Each method with the setting of the paper or of the detector, then with the one that was best on a trace of its own.
@@ -84,12 +84,12 @@
 {
     constexpr std::uint32_t stepsPerInterval = 32;
     constexpr std::uint64_t trainingSeed = 1'000'003;
-    auto training = generate(TraceKind::SlowRanks, shape, arguments.intervals, trainingSeed);
-    std::vector<DetectorSetting> settings { { DetectorKind::StartOnStepTime, 1.5, 1 }, { DetectorKind::Start, 1.5, 1 }, { DetectorKind::Threshold, 1.12, 3 } };
-    for (auto kind : { DetectorKind::StartOnStepTime, DetectorKind::Start, DetectorKind::Threshold })
+    auto training = generateTrace(TraceKind::SlowRanks, shape, arguments.intervals, trainingSeed);
+    std::vector<DetectorSetting> settings { { DetectorKind::ParetoStepTime, 1.5, 1 }, { DetectorKind::ParetoPerToken, 1.5, 1 }, { DetectorKind::Threshold, 1.12, 3 } };
+    for (auto kind : { DetectorKind::ParetoStepTime, DetectorKind::ParetoPerToken, DetectorKind::Threshold })
         settings.push_back(tune(kind, training, stepsPerInterval));
     for (std::uint64_t seed = arguments.seed; seed < arguments.seed + 3; ++seed) {
-        auto trace = generate(TraceKind::SlowRanks, shape, arguments.intervals, seed);
+        auto trace = generateTrace(TraceKind::SlowRanks, shape, arguments.intervals, seed);
         fmt::print("{} (seed {}): detection of slow ranks, by rank and step\n", trace.name, seed);
         for (auto& setting : settings)
             printDetection(detect(trace, setting, stepsPerInterval));
@@ -99,7 +99,7 @@
 /// Time of one decision with demand the planner has not adapted to yet, the costliest case.
 void timeDecision(const MapShape& shape)
 {
-    auto trace = generate(TraceKind::Flip, shape, 16, 1);
+    auto trace = generateTrace(TraceKind::Flip, shape, 16, 1);
     auto planner = Planner::create(viaHeOptions(), ExpertMap::even(shape).value()).value();
     for (std::uint32_t t = 0; t < 8; ++t)
         planner.observe(TimePoint(std::chrono::minutes(5 * (t + 1))), trace.loads[t]);
@@ -126,22 +126,22 @@
 }
 
 /// The goals over many seeds: the worst of each figure.
-struct Worst {
+struct WorstCase {
     double viaHeRatio { 0 };
     double viaHeBytes { 0 };
-    double rasoiWay { 1e9 };
+    double rasoiProgress { 1e9 };
     double rasoiBytes { 0 };
     std::uint64_t movedInQuietHours { 0 };
     std::uint64_t viaHeMoved { 0 };
 };
 
-Worst worstOf(TraceKind kind, const MapShape& shape, const Arguments& arguments)
+WorstCase worstCaseOf(TraceKind kind, const MapShape& shape, const Arguments& arguments)
 {
-    Worst worst;
+    WorstCase worst;
     auto initial = ExpertMap::even(shape).value();
     for (std::uint64_t seed = arguments.seed; seed < arguments.seed + arguments.seeds; ++seed) {
-        auto trace = generate(kind, shape, arguments.intervals, seed);
-        std::vector<Figures> runs;
+        auto trace = generateTrace(kind, shape, arguments.intervals, seed);
+        std::vector<ReplayResult> runs;
         for (auto& policy : allPolicies(initial))
             runs.push_back(replay::replay(trace, initial, policy, {}));
         auto& fixed = runs[0];
@@ -155,7 +155,7 @@
         worst.movedInQuietHours = std::max(worst.movedInQuietHours, rasoi.movedInQuietHours);
         worst.viaHeMoved = std::max(worst.viaHeMoved, viaHe.expertsMoved);
         if (fixed.skewP99 > 1.02 * repack.skewP99)
-            worst.rasoiWay = std::min(worst.rasoiWay, 100 * (fixed.skewP99 - rasoi.skewP99) / (fixed.skewP99 - repack.skewP99));
+            worst.rasoiProgress = std::min(worst.rasoiProgress, 100 * (fixed.skewP99 - rasoi.skewP99) / (fixed.skewP99 - repack.skewP99));
     }
     return worst;
 }
@@ -165,10 +165,10 @@
     fmt::print("worst of {} seeds from {}: via-he p99/repack, % bytes, most experts moved | rasoi % of the way, % bytes, moved in quiet hours\n", arguments.seeds, arguments.seed);
     for (auto& shape : shapes(arguments)) {
         for (auto kind : traceKinds) {
-            auto it = worstOf(kind, shape, arguments);
-            auto way = it.rasoiWay < 1e9 ? fmt::format("{:.0f}", it.rasoiWay) : "none";
+            auto it = worstCaseOf(kind, shape, arguments);
+            auto progress = it.rasoiProgress < 1e9 ? fmt::format("{:.0f}", it.rasoiProgress) : "none";
             fmt::print("  {:12} {:2}x{:2} x{}: {:.3f} {:5.2f} {:5} | {:>5} {:5.2f} {}\n", toString(kind), shape.ranks, shape.experts, shape.layers, it.viaHeRatio, it.viaHeBytes,
-                it.viaHeMoved, way, it.rasoiBytes, it.movedInQuietHours);
+                it.viaHeMoved, progress, it.rasoiBytes, it.movedInQuietHours);
         }
     }
 }
@@ -185,13 +185,13 @@
     TimePoint now;
     std::uint64_t orders = 0;
     std::deque<RankOrder> queue;
-    auto take = [&](const coordination::Effects& effects) {
+    auto enqueueOrders = [&](const coordination::Effects& effects) {
         for (auto& effect : effects) {
             if (auto* sent = std::get_if<coordination::SendOrder>(&effect))
                 queue.push_back(sent->order);
         }
     };
-    auto answerAll = [&] {
+    auto answerOrders = [&] {
         while (!queue.empty()) {
             auto order = queue.front();
             queue.pop_front();
@@ -207,7 +207,7 @@
                 engine.armed.reset();
             } else if (auto* drop = std::get_if<DropMaps>(&order.order))
                 engine.staged = { drop->keep };
-            take(coordinator.apply(now, coordination::ReportArrived { { order.rank, Incarnation(1), order.fence, order.round, engine } }));
+            enqueueOrders(coordinator.apply(now, coordination::ReportArrived { { order.rank, Incarnation(1), order.fence, order.round, engine } }));
         }
     };
     auto runRounds = [&](int rounds) {
@@ -215,14 +215,14 @@
         orders = 0;
         for (int n = 0; n < rounds; ++n) {
             now += seconds(2);
-            take(coordinator.apply(now, coordination::Ticked {}));
-            answerAll();
+            enqueueOrders(coordinator.apply(now, coordination::Ticked {}));
+            answerOrders();
         }
         return std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - begin).count();
     };
     runRounds(2);
     double idle = runRounds(20) / static_cast<double>(orders);
-    take(coordinator.apply(now, coordination::MapWanted { second }));
+    enqueueOrders(coordinator.apply(now, coordination::MapWanted { second }));
     double change = runRounds(4);
     fmt::print("  {:4} ranks: {:.2f} us an idle report, {} orders and {:.0f} us a change (coordinator only)\n", ranks, idle, orders, change);
 }
@@ -254,9 +254,9 @@
 void writeTraces(const Arguments& arguments)
 {
     for (auto kind : traceKinds) {
-        auto trace = generate(kind, { 4, 2, 16, 5 }, dayIntervals, arguments.seed);
+        auto trace = generateTrace(kind, { 4, 2, 16, 5 }, dayIntervals, arguments.seed);
         std::ofstream out(std::filesystem::path(arguments.writeFolder) / (trace.name + ".trace"));
-        write(out, trace);
+        writeTrace(out, trace);
     }
 }
 
@@ -268,7 +268,7 @@
     }
     if (!arguments.traceFile.empty()) {
         std::ifstream in(arguments.traceFile);
-        replayAll(read(in).value(), arguments);
+        replayAll(readTrace(in).value(), arguments);
         return;
     }
     if (arguments.seeds > 1) {
@@ -277,7 +277,7 @@
     }
     for (auto& shape : shapes(arguments)) {
         for (auto kind : traceKinds)
-            replayAll(generate(kind, shape, arguments.intervals, arguments.seed), arguments);
+            replayAll(generateTrace(kind, shape, arguments.intervals, arguments.seed), arguments);
         compareDetectors(shape, arguments);
     }
     if (!arguments.isTimed)
--- a/bench/expertmap-svg.cc
+++ b/bench/expertmap-svg.cc
@@ -18,8 +18,8 @@
 constexpr double gap = 50;
 constexpr int ticks = 5;
 /// Bounds of the axis of bytes; what lies below is drawn at the lower one.
-constexpr double leastGigabytes = 0.1;
-constexpr double mostGigabytes = 1e4;
+constexpr double minGigabytes = 0.1;
+constexpr double maxGigabytes = 1e4;
 constexpr std::array<const char*, 5> colours { "#888888", "#d95f02", "#1b9e77", "#7570b3", "#e6ab02" };
 
 struct Series {
@@ -74,7 +74,7 @@
     }
 }
 
-double highest(const std::vector<Series>& series)
+double maxValue(const std::vector<Series>& series)
 {
     double value = 1;
     for (auto& it : series)
@@ -104,7 +104,7 @@
 
 } // namespace
 
-std::string plot(const replay::Trace& trace, const std::vector<replay::Figures>& runs, Bytes bytesPerExpert)
+std::string plot(const replay::Trace& trace, const std::vector<replay::ReplayResult>& runs, Bytes bytesPerExpert)
 {
     std::vector<Series> skews;
     std::vector<Series> bytes;
@@ -115,13 +115,13 @@
         for (auto& it : run.intervals) {
             sum += static_cast<double>(it.expertsMoved * bytesPerExpert.value()) / 1e9;
             skew.values.push_back(it.meanSkew);
-            moved.values.push_back(std::log10(std::max(sum, leastGigabytes)));
+            moved.values.push_back(std::log10(std::max(sum, minGigabytes)));
         }
         skews.push_back(std::move(skew));
         bytes.push_back(std::move(moved));
     }
-    Panel above { "skew: slowest rank over mean", top, 1, std::max(1.1, highest(skews)) };
-    Panel below { "GB moved since the start", top + panelHeight + gap, std::log10(leastGigabytes), std::log10(mostGigabytes), true };
+    Panel above { "skew: slowest rank over mean", top, 1, std::max(1.1, maxValue(skews)) };
+    Panel below { "GB moved since the start", top + panelHeight + gap, std::log10(minGigabytes), std::log10(maxGigabytes), true };
     double height = below.top + panelHeight + 40;
     std::string out = fmt::format("<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"{0}\" height=\"{1}\" font-family=\"sans-serif\" font-size=\"12\">\n"
                                   "<rect width=\"{0}\" height=\"{1}\" fill=\"white\"/>\n<text x=\"{2}\" y=\"20\" font-size=\"15\">{3}</text>\n",
--- a/include/swiftloft/expertmap/load-estimate.h
+++ b/include/swiftloft/expertmap/load-estimate.h
@@ -30,11 +30,11 @@
     /// changes nothing, when the count of values is wrong, one is negative or not finite, or `now` goes back.
     std::optional<Error> observe(TimePoint now, std::span<const double> tokens);
 
-    bool isKnown() const { return m_reports >= m_options.minReports; }
+    bool hasEnoughReports() const { return m_reports >= m_options.minReports; }
     std::span<const double> fast(LayerIndex layer) const;
     std::span<const double> slow(LayerIndex layer) const;
     /// What to split tokens among replicas by: the fast average, or the slow one while the layer is volatile.
-    std::span<const double> forSplit(LayerIndex layer) const;
+    std::span<const double> splitShares(LayerIndex layer) const;
     /// True while demand swings faster than the averages follow: only what holds under the slow average is worth a move.
     bool isVolatile(LayerIndex layer) const;
 
@@ -46,14 +46,14 @@
         std::vector<double> slowShrunk;
         /// Mean square of report minus fast average, averaged over time.
         double residual { 0 };
-        TimePoint mayJumpAt;
-        milliseconds nextJumpGap { 0 };
+        TimePoint nextResetAt;
+        milliseconds nextResetInterval { 0 };
     };
 
     LoadEstimate(const MapShape& shape, const Options& options);
 
     void observeLayer(Layer& layer, TimePoint now, std::span<const double> tokens, double fastWeight, double slowWeight);
-    void jumpIfShifted(Layer& layer, TimePoint now, std::span<const double> report);
+    void resetOnShift(Layer& layer, TimePoint now, std::span<const double> report);
 
     MapShape m_shape;
     Options m_options;
--- a/include/swiftloft/expertmap/planner.h
+++ b/include/swiftloft/expertmap/planner.h
@@ -26,7 +26,7 @@
 enum class PlanReason {
     Moved,
     /// Too few reports yet.
-    NotKnown,
+    NotEnoughData,
     InQuietHours,
     /// The cap on bytes a minute leaves nothing for now.
     OverByteCap,
@@ -78,11 +78,11 @@
         double horizonSteps { 50'000 };
         /// What moving one expert in every layer costs at weight 1, in steps. Counted so, the weights mean the same for
         /// models of few and of many layers: a layer's part of the step and its part of the cost shrink alike.
-        double stepsPerExpert { 100 };
+        double moveCostSteps { 100 };
         /// Least gain of a move, as a part of its layer's time. Below it lies what noise could feign.
         double minGain { 0.002 };
         /// A slot that was filled keeps its expert at least this long.
-        milliseconds keepFor { 600'000 };
+        milliseconds pinDuration { 600'000 };
         /// Bound of predictions made in one decision, and so of its time.
         std::uint32_t maxPredictions { 6'000 };
         LoadEstimate::Options estimate;
@@ -106,21 +106,21 @@
 private:
     Planner(const Options& options, const ExpertMap& current, LoadEstimate estimate);
 
-    std::optional<PlanReason> reasonToWait(TimePoint now, std::uint32_t minuteOfDay) const;
-    std::vector<internal::LayerSearch> searches(TimePoint now) const;
-    double leastGain(double stepTime) const;
-    void take(TimePoint now, std::vector<ExpertIndex> slots, Plan& plan);
-    std::uint64_t expertsAllowed(TimePoint now) const;
-    void spend(TimePoint now, Bytes bytes);
+    std::optional<PlanReason> blockingReason(TimePoint now, std::uint32_t minuteOfDay) const;
+    std::vector<internal::LayerSearch> createSearches(TimePoint now) const;
+    double minGainPerExpert(double stepTime) const;
+    void commitPlan(TimePoint now, std::vector<ExpertIndex> slots, Plan& plan);
+    std::uint64_t expertBudget(TimePoint now) const;
+    void chargeBytes(TimePoint now, Bytes bytes);
 
     Options m_options;
     ExpertMap m_current;
     LoadEstimate m_estimate;
     std::vector<double> m_speeds;
     /// By layer and slot: until when the slot keeps its expert.
-    std::vector<TimePoint> m_keepUntil;
+    std::vector<TimePoint> m_pinnedUntil;
     /// Time at which all bytes moved so far are paid for at the capped rate.
-    TimePoint m_paidAt;
+    TimePoint m_budgetRestoredAt;
 };
 
 } // namespace swiftloft::expertmap
--- a/include/swiftloft/expertmap/replica-planner.h
+++ b/include/swiftloft/expertmap/replica-planner.h
@@ -28,15 +28,15 @@
         double minTokens { 2000 };
         /// A report that is so many times as unlike the memory as reports usually are tells of a shift. Unlikeness is 1
         /// less the cosine of the two demands, averaged over the layers.
-        double shiftAbove { 3 };
+        double shiftThreshold { 3 };
         /// What passes for usual before reports have shown it; never less than a third of it.
-        double usualUnlikeness { 0.03 };
+        double baselineDissimilarity { 0.03 };
         /// Most experts of one layer that a rank takes in with one change.
-        std::uint32_t newPerRankAndLayer { 4 };
+        std::uint32_t maxCopiesPerRankAndLayer { 4 };
         /// Most experts that a rank takes in with one change, over all layers: copying time, as ranks copy side by side.
-        std::uint32_t newPerRank { 4 };
+        std::uint32_t maxCopiesPerRank { 4 };
         /// A layer whose most loaded rank has at most so many times the mean is left alone.
-        double evenEnough { 1.08 };
+        double balancedPeakRatio { 1.08 };
         /// Least part of the step time that a change must save for each copy of the rank with the most: ranks copy side by
         /// side, so that one decides how long the change takes. Charged for the copies of all ranks together, no change of a
         /// large group could pay off, whatever it gained.
@@ -61,7 +61,7 @@
     /// Time of the slowest rank over that of even ranks at the usual pace, averaged over the layers; 1 is even. 0 while
     /// nothing is known.
     double imbalance(const ExpertMap& map) const;
-    bool isKnown() const;
+    bool hasEnoughTokens() const;
     /// When a report last told of a shift. Around a shift reports hold tokens of both demands, so the first one after it
     /// is no good ground for a plan; a second one like it is. Unset before the first shift.
     std::optional<TimePoint> shiftedAt() const { return m_shiftedAt; }
@@ -70,19 +70,19 @@
     ReplicaPlanner(const MapShape& shape, const Options& options);
 
     std::span<const double> layerTokens(std::uint32_t layer) const;
-    bool noteUnlikeness();
+    bool detectShift();
 
     MapShape m_shape;
     Options m_options;
     /// Decayed token counts by layer and expert.
-    std::vector<double> m_tokens;
+    std::vector<double> m_decayedTokens;
     std::vector<double> m_paces;
     TimePoint m_observedAt;
     /// Tokens reported since the last comparison with the memory.
-    std::vector<double> m_recent;
+    std::vector<double> m_recentTokens;
     std::optional<TimePoint> m_shiftedAt;
     /// Mean unlikeness of the reports that told of no shift.
-    double m_usualUnlikeness { 0 };
+    double m_baselineDissimilarity { 0 };
 };
 
 } // namespace swiftloft::expertmap
--- a/src/agent/map-leader.cc
+++ b/src/agent/map-leader.cc
@@ -44,8 +44,8 @@
         return;
     // Failure: a group has formed anew and its ranks are at their most uneven. Sought before demand is known, a plan is refused,
     // and the next one waits for the pause that follows a refusal.
-    if (!m_planning.planner().isKnown() && m_planning.unknownRanks().empty()) {
-        sayRefused(now, { .reason = PlanReason::NotKnown });
+    if (!m_planning.planner().hasEnoughTokens() && m_planning.unknownRanks().empty()) {
+        sayRefused(now, { .reason = PlanReason::NotEnoughData });
         return;
     }
     if (auto current = m_planning.current())
@@ -104,7 +104,7 @@
 {
     if (!takeTurnToSay(now))
         return;
-    auto* reason = plan.reason == PlanReason::NotKnown ? "demand-unknown" : "no-gain";
+    auto* reason = plan.reason == PlanReason::NotEnoughData ? "demand-unknown" : "no-gain";
     m_hooks.onUnplanned(reason, fmt::format("imbalance={:.2f} gain={:.3f}", plan.imbalance, plan.gain));
 }
 
--- a/src/agent/rank-daemon.cc
+++ b/src/agent/rank-daemon.cc
@@ -301,8 +301,8 @@
     ReplicaPlanner::Options planning;
     planning.halfLife = m_settings.loadHalfLife;
     planning.minGain = m_settings.minGain;
-    planning.newPerRank = expertsWithin(m_settings.maxCopyTime, m_brief->traits);
-    planning.newPerRankAndLayer = std::max(m_brief->traits.spareSlots, 1U);
+    planning.maxCopiesPerRank = expertsWithin(m_settings.maxCopyTime, m_brief->traits);
+    planning.maxCopiesPerRankAndLayer = std::max(m_brief->traits.spareSlots, 1U);
     auto group = m_member->options().group.value();
     MapLeader::Hooks hooks;
     hooks.onWanted = [this, group](const VersionedMap& map, const Plan& plan) {
--- a/src/expertmap/layer-model.cc
+++ b/src/expertmap/layer-model.cc
@@ -33,7 +33,7 @@
     , m_rankLoads(shape.ranks, 0.0)
 {
     for (std::uint32_t n = 0; n < slots.size(); ++n)
-        place(n, slots[n].value());
+        assignSlot(n, slots[n].value());
     for (std::uint32_t expert = 0; expert < shape.experts; ++expert) {
         for (auto slot : m_slotsOfExpert[expert]) {
             m_shares[slot] = m_loads[expert] / static_cast<double>(m_slotsOfExpert[expert].size());
@@ -60,7 +60,7 @@
     return std::find(begin, begin + m_slotsPerRank, expert) != begin + m_slotsPerRank;
 }
 
-void LayerModel::place(std::uint32_t slot, std::uint32_t expert)
+void LayerModel::assignSlot(std::uint32_t slot, std::uint32_t expert)
 {
     auto old = m_slots[slot];
     if (old != emptySlot)
@@ -71,7 +71,7 @@
 }
 
 /// Splits the tokens of `expert` anew over its replicas: all that take some finish at one level.
-void LayerModel::fill(std::uint32_t expert)
+void LayerModel::waterFill(std::uint32_t expert)
 {
     auto& slots = m_slotsOfExpert[expert];
     if (slots.size() == 1) {
@@ -109,7 +109,7 @@
 {
     for (std::uint32_t expert = 0; expert < m_slotsOfExpert.size(); ++expert) {
         if (m_slotsOfExpert[expert].size() > 1)
-            fill(expert);
+            waterFill(expert);
     }
 }
 
@@ -123,7 +123,7 @@
     return std::pow(sum / static_cast<double>(m_rankLoads.size()), 1.0 / normOrder);
 }
 
-void LayerModel::replace(const PlacementChange& change)
+void LayerModel::updatePlacement(const PlacementChange& change)
 {
     auto dropped = m_slots[change.slot];
     auto vacate = [this](std::uint32_t slot) {
@@ -132,13 +132,13 @@
     };
     vacate(change.slot);
     if (change.isSwap())
-        vacate(change.backSlot);
-    place(change.slot, change.expert);
+        vacate(change.swapSlot);
+    assignSlot(change.slot, change.expert);
     if (change.isSwap())
-        place(change.backSlot, dropped);
+        assignSlot(change.swapSlot, dropped);
     if (dropped != emptySlot)
-        fill(dropped);
-    fill(change.expert);
+        waterFill(dropped);
+    waterFill(change.expert);
     for (int n = 0; n < sweepsAfterChange; ++n)
         sweep();
 }
@@ -148,19 +148,19 @@
     m_savedShares = m_shares;
     m_savedRankLoads = m_rankLoads;
     auto dropped = m_slots[change.slot];
-    replace(change);
+    updatePlacement(change);
     double norm = computeNorm();
     if (change.isSwap())
-        place(change.backSlot, change.expert);
-    place(change.slot, dropped);
+        assignSlot(change.swapSlot, change.expert);
+    assignSlot(change.slot, dropped);
     m_shares.swap(m_savedShares);
     m_rankLoads.swap(m_savedRankLoads);
     return norm;
 }
 
-void LayerModel::make(const PlacementChange& change)
+void LayerModel::apply(const PlacementChange& change)
 {
-    replace(change);
+    updatePlacement(change);
     m_norm = computeNorm();
 }
 
--- a/src/expertmap/layer-model.h
+++ b/src/expertmap/layer-model.h
@@ -14,11 +14,11 @@
 struct PlacementChange {
     std::uint32_t slot { 0 };
     std::uint32_t expert { 0 };
-    std::uint32_t backSlot { noSlot };
+    std::uint32_t swapSlot { noSlot };
 
     static constexpr std::uint32_t noSlot = 0xffffffff;
 
-    bool isSwap() const { return backSlot != noSlot; }
+    bool isSwap() const { return swapSlot != noSlot; }
 };
 
 class LayerModel {
@@ -42,12 +42,12 @@
 
     /// The norm if `change` were made; the model stays as it is.
     double normAfter(const PlacementChange& change);
-    void make(const PlacementChange& change);
+    void apply(const PlacementChange& change);
 
 private:
-    void place(std::uint32_t slot, std::uint32_t expert);
-    void replace(const PlacementChange& change);
-    void fill(std::uint32_t expert);
+    void assignSlot(std::uint32_t slot, std::uint32_t expert);
+    void updatePlacement(const PlacementChange& change);
+    void waterFill(std::uint32_t expert);
     void sweep();
     double computeNorm() const;
     std::uint32_t rankOf(std::uint32_t slot) const { return slot / m_slotsPerRank; }
--- a/src/expertmap/layer-search.cc
+++ b/src/expertmap/layer-search.cc
@@ -17,24 +17,24 @@
 } // namespace
 
 LayerSearch::LayerSearch(const MapShape& shape, std::span<const ExpertIndex> slots, std::span<const double> fast, std::span<const double> slow,
-    std::span<const double> speeds, std::span<const TimePoint> keepUntil, TimePoint now, double caution)
+    std::span<const double> speeds, std::span<const TimePoint> pinnedUntil, TimePoint now, double slowWeight)
     : m_slotsPerRank(shape.slotsPerRank)
     , m_fast(shape, slots, fast, speeds)
     , m_slow(shape, slots, slow, speeds)
-    , m_keepUntil(keepUntil.begin(), keepUntil.end())
+    , m_pinnedUntil(pinnedUntil.begin(), pinnedUntil.end())
     , m_now(now)
-    , m_caution(caution)
+    , m_slowWeight(slowWeight)
 {
 }
 
 double LayerSearch::excess() const
 {
-    return weigh(m_fast.norm(), m_slow.norm()) - 1;
+    return blend(m_fast.norm(), m_slow.norm()) - 1;
 }
 
 std::vector<PlacementChange> LayerSearch::candidates() const
 {
-    std::vector<std::uint32_t> ranks(m_keepUntil.size() / m_slotsPerRank);
+    std::vector<std::uint32_t> ranks(m_pinnedUntil.size() / m_slotsPerRank);
     std::iota(ranks.begin(), ranks.end(), 0);
     std::sort(ranks.begin(), ranks.end(), [this](auto a, auto b) { return m_fast.rankTime(a) > m_fast.rankTime(b); });
     std::vector<PlacementChange> found;
@@ -63,25 +63,25 @@
     for (auto slot = begin; slot < begin + m_slotsPerRank; ++slot) {
         if (!mayFill(slot))
             continue;
-        auto there = m_fast.expertAt(slot);
-        bool isSpare = there == noExpert.value() || m_fast.replicas(there) > 1;
+        auto held = m_fast.expertAt(slot);
+        bool isSpare = held == noExpert.value() || m_fast.replicas(held) > 1;
         if (isSpare)
             out.push_back({ slot, expert });
-        if (there != noExpert.value() && !m_fast.holds(hotRank, there) && mayFill(hotSlot))
+        if (held != noExpert.value() && !m_fast.holds(hotRank, held) && mayFill(hotSlot))
             out.push_back({ slot, expert, hotSlot });
     }
 }
 
-std::optional<SearchStep> LayerSearch::improve(double leastGain, std::uint64_t allowed, std::uint32_t& predictions)
+std::optional<SearchStep> LayerSearch::improve(double minGain, std::uint64_t budget, std::uint32_t& predictions)
 {
     std::vector<Candidate> found;
     for (auto& change : candidates()) {
         double cost = change.isSwap() ? 2 : 1;
-        if (cost > static_cast<double>(allowed))
+        if (cost > static_cast<double>(budget))
             continue;
         ++predictions;
         double gain = (m_fast.norm() - m_fast.normAfter(change)) / cost;
-        if (gain >= leastGain)
+        if (gain >= minGain)
             found.push_back({ change, gain });
     }
     std::sort(found.begin(), found.end(), [](auto& a, auto& b) { return a.gainPerExpert > b.gainPerExpert; });
@@ -90,22 +90,22 @@
         ++predictions;
         double cost = it.change.isSwap() ? 2 : 1;
         double slowGain = (m_slow.norm() - m_slow.normAfter(it.change)) / cost;
-        double gain = weigh(it.gainPerExpert, slowGain);
-        if (gain >= leastGain)
-            return make(it.change, gain * cost);
+        double gain = blend(it.gainPerExpert, slowGain);
+        if (gain >= minGain)
+            return apply(it.change, gain * cost);
     }
     return std::nullopt;
 }
 
-SearchStep LayerSearch::make(const PlacementChange& change, double gain)
+SearchStep LayerSearch::apply(const PlacementChange& change, double gain)
 {
     SearchStep step { gain, { { change.slot, change.expert } } };
     if (change.isSwap())
-        step.filled.push_back({ change.backSlot, m_fast.expertAt(change.slot) });
-    m_fast.make(change);
-    m_slow.make(change);
+        step.filled.push_back({ change.swapSlot, m_fast.expertAt(change.slot) });
+    m_fast.apply(change);
+    m_slow.apply(change);
     for (auto& it : step.filled)
-        m_keepUntil[it.slot] = m_now + milliseconds(1);
+        m_pinnedUntil[it.slot] = m_now + milliseconds(1);
     return step;
 }
 
--- a/src/expertmap/layer-search.h
+++ b/src/expertmap/layer-search.h
@@ -25,15 +25,15 @@
 class LayerSearch {
 public:
     LayerSearch(const MapShape& shape, std::span<const ExpertIndex> slots, std::span<const double> fast, std::span<const double> slow,
-        std::span<const double> speeds, std::span<const TimePoint> keepUntil, TimePoint now, double caution);
+        std::span<const double> speeds, std::span<const TimePoint> pinnedUntil, TimePoint now, double slowWeight);
 
     /// Predicted time of the layer over its mean time.
-    double time() const { return m_fast.norm(); }
+    double relativeTime() const { return m_fast.norm(); }
     /// How far the layer lies above the mean: no change gains more.
     double excess() const;
     /// Makes the change with the best gain per expert moved, if that gain is `leastGain` an expert or more and it moves
     /// no more than `allowed`. Counts predictions into `predictions`.
-    std::optional<SearchStep> improve(double leastGain, std::uint64_t allowed, std::uint32_t& predictions);
+    std::optional<SearchStep> improve(double minGain, std::uint64_t budget, std::uint32_t& predictions);
 
 private:
     struct Candidate {
@@ -43,16 +43,16 @@
 
     std::vector<PlacementChange> candidates() const;
     void addCandidates(std::uint32_t hotSlot, std::uint32_t coldRank, std::vector<PlacementChange>& out) const;
-    bool mayFill(std::uint32_t slot) const { return m_keepUntil[slot] <= m_now; }
-    double weigh(double fast, double slow) const { return (1 - m_caution) * fast + m_caution * slow; }
-    SearchStep make(const PlacementChange& change, double gain);
+    bool mayFill(std::uint32_t slot) const { return m_pinnedUntil[slot] <= m_now; }
+    double blend(double fast, double slow) const { return (1 - m_slowWeight) * fast + m_slowWeight * slow; }
+    SearchStep apply(const PlacementChange& change, double gain);
 
     std::uint32_t m_slotsPerRank;
     LayerModel m_fast;
     LayerModel m_slow;
-    std::vector<TimePoint> m_keepUntil;
+    std::vector<TimePoint> m_pinnedUntil;
     TimePoint m_now;
-    double m_caution;
+    double m_slowWeight;
 };
 
 } // namespace swiftloft::expertmap::internal
--- a/src/expertmap/load-estimate.cc
+++ b/src/expertmap/load-estimate.cc
@@ -12,16 +12,16 @@
 
 /// A report this far from the slow average, as a part of the spread of both, shares little with it: 1 is no relation at
 /// all, and the steepest of ordinary mornings stays below a third.
-constexpr double shiftOfSpread = 0.5;
+constexpr double minShiftOverSpread = 0.5;
 /// And this many times farther than reports lie on average.
-constexpr double shiftOverNoise = 4;
+constexpr double minShiftOverNoise = 4;
 /// After a jump of the slow average the next one waits this many slow half-lives, and twice as long each time.
-constexpr int firstJumpGap = 4;
-constexpr int longestJumpGap = 64;
+constexpr int minResetHalfLives = 4;
+constexpr int maxResetHalfLives = 64;
 /// Deviations of the measured spread from its mean that still count as noise.
 constexpr double noiseDeviations = 5;
 /// A layer is volatile while reports differ from the fast average by more than this part of the spread.
-constexpr double volatileResidual = 0.3;
+constexpr double volatileResidualRatio = 0.3;
 
 double meanSquare(std::span<const double> a, std::span<const double> b)
 {
@@ -45,12 +45,12 @@
     double spread = spreadOf(shares);
     // With few experts the spread that noise alone gives varies more from report to report.
     double margin = 1 + noiseDeviations * std::sqrt(2.0 / static_cast<double>(shares.size()));
-    double keep = spread > 0 ? std::max(0.0, 1 - margin * noise / spread) : 0;
+    double retained = spread > 0 ? std::max(0.0, 1 - margin * noise / spread) : 0;
     for (std::size_t n = 0; n < shares.size(); ++n)
-        out[n] = 1 + keep * (shares[n] - 1);
+        out[n] = 1 + retained * (shares[n] - 1);
 }
 
-double weightOfNew(milliseconds elapsed, milliseconds halfLife)
+double sampleWeight(milliseconds elapsed, milliseconds halfLife)
 {
     return 1 - std::exp2(-static_cast<double>(elapsed.count()) / static_cast<double>(halfLife.count()));
 }
@@ -83,8 +83,8 @@
     if (m_reports > 0 && now <= m_lastReport)
         return Error { ErrorCode::Stale, "a report is not newer than the one before" };
     auto elapsed = std::chrono::duration_cast<milliseconds>(now - m_lastReport);
-    double fastWeight = m_reports == 0 ? 1 : weightOfNew(elapsed, m_options.fastHalfLife);
-    double slowWeight = m_reports == 0 ? 1 : weightOfNew(elapsed, m_options.slowHalfLife);
+    double fastWeight = m_reports == 0 ? 1 : sampleWeight(elapsed, m_options.fastHalfLife);
+    double slowWeight = m_reports == 0 ? 1 : sampleWeight(elapsed, m_options.slowHalfLife);
     for (std::uint32_t n = 0; n < m_shape.layers; ++n)
         observeLayer(m_layers[n], now, tokens.subspan(static_cast<std::size_t>(n) * m_shape.experts, m_shape.experts), fastWeight, slowWeight);
     m_lastReport = now;
@@ -110,7 +110,7 @@
     if (m_reports == 0)
         return;
     square /= static_cast<double>(tokens.size());
-    jumpIfShifted(layer, now, report);
+    resetOnShift(layer, now, report);
     layer.residual = m_reports == 1 ? square : layer.residual + slowWeight * (square - layer.residual);
     // Of an average that takes weight w of each new value, the variance is w / 2 of the mean square of the residuals.
     shrink(layer.fast, layer.residual * fastWeight / 2, layer.fastShrunk);
@@ -120,19 +120,19 @@
 /// Failure: after a sudden shift of demand the averages lag for an hour, and plans that must be good under both come
 /// late. So both jump to the report; ever less often, so that demand that swings to and fro can't make them follow each
 /// swing.
-void LoadEstimate::jumpIfShifted(Layer& layer, TimePoint now, std::span<const double> report)
+void LoadEstimate::resetOnShift(Layer& layer, TimePoint now, std::span<const double> report)
 {
-    double apart = meanSquare(report, layer.slow);
-    bool isShift = apart > shiftOfSpread * (spreadOf(report) + spreadOf(layer.slow)) && apart > shiftOverNoise * layer.residual;
-    if (!isShift || now < layer.mayJumpAt)
+    double distance = meanSquare(report, layer.slow);
+    bool isShift = distance > minShiftOverSpread * (spreadOf(report) + spreadOf(layer.slow)) && distance > minShiftOverNoise * layer.residual;
+    if (!isShift || now < layer.nextResetAt)
         return;
     layer.fast.assign(report.begin(), report.end());
     layer.slow = layer.fast;
-    bool isLongAgo = now > layer.mayJumpAt + layer.nextJumpGap;
-    if (layer.nextJumpGap == milliseconds(0) || isLongAgo)
-        layer.nextJumpGap = firstJumpGap * m_options.slowHalfLife;
-    layer.mayJumpAt = now + layer.nextJumpGap;
-    layer.nextJumpGap = std::min(2 * layer.nextJumpGap, longestJumpGap * m_options.slowHalfLife);
+    bool isLongAgo = now > layer.nextResetAt + layer.nextResetInterval;
+    if (layer.nextResetInterval == milliseconds(0) || isLongAgo)
+        layer.nextResetInterval = minResetHalfLives * m_options.slowHalfLife;
+    layer.nextResetAt = now + layer.nextResetInterval;
+    layer.nextResetInterval = std::min(2 * layer.nextResetInterval, maxResetHalfLives * m_options.slowHalfLife);
 }
 
 std::span<const double> LoadEstimate::fast(LayerIndex layer) const
@@ -140,7 +140,7 @@
     return m_layers[layer.value()].fastShrunk;
 }
 
-std::span<const double> LoadEstimate::forSplit(LayerIndex layer) const
+std::span<const double> LoadEstimate::splitShares(LayerIndex layer) const
 {
     return isVolatile(layer) ? slow(layer) : fast(layer);
 }
@@ -148,7 +148,7 @@
 bool LoadEstimate::isVolatile(LayerIndex layer) const
 {
     auto& it = m_layers[layer.value()];
-    return it.residual > volatileResidual * std::max(spreadOf(it.fast), spreadOf(it.slow));
+    return it.residual > volatileResidualRatio * std::max(spreadOf(it.fast), spreadOf(it.slow));
 }
 
 std::span<const double> LoadEstimate::slow(LayerIndex layer) const
--- a/src/expertmap/planner.cc
+++ b/src/expertmap/planner.cc
@@ -16,7 +16,7 @@
 
 constexpr std::uint32_t minutesPerDay = 1440;
 /// Keeps divisions finite.
-constexpr double smallest = 1e-9;
+constexpr double minDivisor = 1e-9;
 
 Error invalid(const char* text)
 {
@@ -59,7 +59,7 @@
     , m_current(current)
     , m_estimate(std::move(estimate))
     , m_speeds(current.shape().ranks, 1.0)
-    , m_keepUntil(current.slots().size())
+    , m_pinnedUntil(current.slots().size())
 {
 }
 
@@ -78,102 +78,102 @@
     m_current = map;
 }
 
-std::uint64_t Planner::expertsAllowed(TimePoint now) const
+std::uint64_t Planner::expertBudget(TimePoint now) const
 {
     if (!m_options.bytesPerMinute)
         return std::numeric_limits<std::uint64_t>::max();
-    auto free = std::chrono::duration<double>(now + m_options.burst - std::max(m_paidAt, now)).count();
+    auto free = std::chrono::duration<double>(now + m_options.burst - std::max(m_budgetRestoredAt, now)).count();
     double bytes = std::max(0.0, free) / 60 * static_cast<double>(m_options.bytesPerMinute->value());
     return static_cast<std::uint64_t>(bytes / static_cast<double>(m_options.bytesPerExpert.value()));
 }
 
-void Planner::spend(TimePoint now, Bytes bytes)
+void Planner::chargeBytes(TimePoint now, Bytes bytes)
 {
     if (!m_options.bytesPerMinute)
         return;
     double minutes = static_cast<double>(bytes.value()) / static_cast<double>(m_options.bytesPerMinute->value());
-    m_paidAt = std::max(m_paidAt, now) + std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(60 * minutes));
+    m_budgetRestoredAt = std::max(m_budgetRestoredAt, now) + std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(60 * minutes));
 }
 
-std::optional<PlanReason> Planner::reasonToWait(TimePoint now, std::uint32_t minuteOfDay) const
+std::optional<PlanReason> Planner::blockingReason(TimePoint now, std::uint32_t minuteOfDay) const
 {
-    if (!m_estimate.isKnown())
-        return PlanReason::NotKnown;
+    if (!m_estimate.hasEnoughReports())
+        return PlanReason::NotEnoughData;
     if (std::any_of(m_options.quietHours.begin(), m_options.quietHours.end(), [&](auto& it) { return it.contains(minuteOfDay); }))
         return PlanReason::InQuietHours;
-    if (expertsAllowed(now) == 0)
+    if (expertBudget(now) == 0)
         return PlanReason::OverByteCap;
     return std::nullopt;
 }
 
-std::vector<LayerSearch> Planner::searches(TimePoint now) const
+std::vector<LayerSearch> Planner::createSearches(TimePoint now) const
 {
     auto& shape = m_current.shape();
     // Who minds moves more gives the slow average more say, and so moves only for what lasts.
-    double caution = m_options.rebalanceWeight / std::max(m_options.skewWeight + m_options.rebalanceWeight, smallest);
+    double slowWeight = m_options.rebalanceWeight / std::max(m_options.skewWeight + m_options.rebalanceWeight, minDivisor);
     std::vector<LayerSearch> found;
     found.reserve(shape.layers);
     for (std::uint32_t n = 0; n < shape.layers; ++n) {
         LayerIndex layer(n);
-        auto keep = std::span(m_keepUntil).subspan(static_cast<std::size_t>(n) * shape.slotsPerLayer(), shape.slotsPerLayer());
-        found.emplace_back(shape, m_current.layer(layer), m_estimate.fast(layer), m_estimate.slow(layer), m_speeds, keep, now,
-            m_estimate.isVolatile(layer) ? 1 : caution);
+        auto pinnedUntil = std::span(m_pinnedUntil).subspan(static_cast<std::size_t>(n) * shape.slotsPerLayer(), shape.slotsPerLayer());
+        found.emplace_back(shape, m_current.layer(layer), m_estimate.fast(layer), m_estimate.slow(layer), m_speeds, pinnedUntil, now,
+            m_estimate.isVolatile(layer) ? 1 : slowWeight);
     }
     return found;
 }
 
 /// The least gain, as a part of a layer's time, that pays for moving one expert: the steps it saves over the horizon
 /// outweigh what the move costs, each by its weight. A layer counts by its part of the step.
-double Planner::leastGain(double stepTime) const
+double Planner::minGainPerExpert(double stepTime) const
 {
-    double cost = m_options.rebalanceWeight * m_options.stepsPerExpert / m_current.shape().layers;
-    double value = m_options.skewWeight * m_options.horizonSteps / std::max(stepTime, smallest);
+    double cost = m_options.rebalanceWeight * m_options.moveCostSteps / m_current.shape().layers;
+    double value = m_options.skewWeight * m_options.horizonSteps / std::max(stepTime, minDivisor);
     return std::max(m_options.minGain, value > 0 ? cost / value : std::numeric_limits<double>::infinity());
 }
 
 Plan Planner::plan(TimePoint now, std::uint32_t minuteOfDay)
 {
     Plan plan;
-    if (auto reason = reasonToWait(now, minuteOfDay)) {
+    if (auto reason = blockingReason(now, minuteOfDay)) {
         plan.reason = *reason;
         return plan;
     }
-    auto layers = searches(now);
-    double stepTime = std::accumulate(layers.begin(), layers.end(), 0.0, [](double sum, auto& it) { return sum + it.time(); });
+    auto layers = createSearches(now);
+    double stepTime = std::accumulate(layers.begin(), layers.end(), 0.0, [](double sum, auto& it) { return sum + it.relativeTime(); });
     std::vector<std::uint32_t> order(layers.size());
     std::iota(order.begin(), order.end(), 0);
     std::sort(order.begin(), order.end(), [&](auto a, auto b) { return layers[a].excess() > layers[b].excess(); });
 
     auto& shape = m_current.shape();
-    auto allowed = expertsAllowed(now);
-    double least = leastGain(stepTime);
+    auto budget = expertBudget(now);
+    double minGain = minGainPerExpert(stepTime);
     std::uint32_t predictions = 0;
     std::vector<ExpertIndex> slots(m_current.slots().begin(), m_current.slots().end());
     for (auto layer : order) {
-        while (layers[layer].excess() > least && predictions < m_options.maxPredictions) {
-            auto step = layers[layer].improve(least, allowed, predictions);
+        while (layers[layer].excess() > minGain && predictions < m_options.maxPredictions) {
+            auto step = layers[layer].improve(minGain, budget, predictions);
             if (!step)
                 break;
             plan.gain += step->gain / stepTime;
-            allowed -= step->filled.size();
+            budget -= step->filled.size();
             for (auto& it : step->filled) {
                 auto index = static_cast<std::size_t>(layer) * shape.slotsPerLayer() + it.slot;
                 slots[index] = ExpertIndex(it.expert);
-                m_keepUntil[index] = now + m_options.keepFor;
+                m_pinnedUntil[index] = now + m_options.pinDuration;
                 plan.moves.push_back({ LayerIndex(layer), ExpertIndex(it.expert), RankIndex(it.slot / shape.slotsPerRank) });
             }
         }
     }
     if (!plan.moves.empty())
-        take(now, std::move(slots), plan);
+        commitPlan(now, std::move(slots), plan);
     return plan;
 }
 
-void Planner::take(TimePoint now, std::vector<ExpertIndex> slots, Plan& plan)
+void Planner::commitPlan(TimePoint now, std::vector<ExpertIndex> slots, Plan& plan)
 {
     plan.reason = PlanReason::Moved;
     plan.bytes = Bytes(plan.moves.size() * m_options.bytesPerExpert.value());
-    spend(now, plan.bytes);
+    chargeBytes(now, plan.bytes);
     m_current = ExpertMap::create(m_current.shape(), std::move(slots)).value();
     plan.map = m_current;
 }
--- a/src/expertmap/replay/baselines.cc
+++ b/src/expertmap/replay/baselines.cc
@@ -56,7 +56,7 @@
     return slots;
 }
 
-std::vector<ExpertIndex> renameRanks(const MapShape& shape, std::span<const ExpertIndex> held, std::span<const ExpertIndex> packed)
+std::vector<ExpertIndex> matchRanks(const MapShape& shape, std::span<const ExpertIndex> held, std::span<const ExpertIndex> packed)
 {
     struct Pair {
         std::uint32_t shared { 0 };
@@ -65,25 +65,25 @@
     };
     std::vector<Pair> pairs;
     for (std::uint32_t to = 0; to < shape.ranks; ++to) {
-        auto mine = held.subspan(static_cast<std::size_t>(to) * shape.slotsPerRank, shape.slotsPerRank);
+        auto heldRank = held.subspan(static_cast<std::size_t>(to) * shape.slotsPerRank, shape.slotsPerRank);
         for (std::uint32_t from = 0; from < shape.ranks; ++from) {
-            auto theirs = packed.subspan(static_cast<std::size_t>(from) * shape.slotsPerRank, shape.slotsPerRank);
-            auto isShared = [&](auto it) { return it != noExpert && std::find(mine.begin(), mine.end(), it) != mine.end(); };
-            pairs.push_back({ static_cast<std::uint32_t>(std::count_if(theirs.begin(), theirs.end(), isShared)), from, to });
+            auto packedRank = packed.subspan(static_cast<std::size_t>(from) * shape.slotsPerRank, shape.slotsPerRank);
+            auto isShared = [&](auto it) { return it != noExpert && std::find(heldRank.begin(), heldRank.end(), it) != heldRank.end(); };
+            pairs.push_back({ static_cast<std::uint32_t>(std::count_if(packedRank.begin(), packedRank.end(), isShared)), from, to });
         }
     }
     std::stable_sort(pairs.begin(), pairs.end(), [](auto& a, auto& b) { return a.shared > b.shared; });
-    std::vector<ExpertIndex> renamed(packed.size(), noExpert);
-    std::vector<bool> isGiven(shape.ranks, false);
+    std::vector<ExpertIndex> matched(packed.size(), noExpert);
+    std::vector<bool> isAssigned(shape.ranks, false);
     std::vector<bool> isFilled(shape.ranks, false);
     for (auto& pair : pairs) {
-        if (isGiven[pair.from] || isFilled[pair.to])
+        if (isAssigned[pair.from] || isFilled[pair.to])
             continue;
-        isGiven[pair.from] = isFilled[pair.to] = true;
+        isAssigned[pair.from] = isFilled[pair.to] = true;
         auto source = packed.begin() + pair.from * shape.slotsPerRank;
-        std::copy(source, source + shape.slotsPerRank, renamed.begin() + pair.to * shape.slotsPerRank);
+        std::copy(source, source + shape.slotsPerRank, matched.begin() + pair.to * shape.slotsPerRank);
     }
-    return renamed;
+    return matched;
 }
 
 } // namespace swiftloft::expertmap::replay
--- a/src/expertmap/replay/baselines.h
+++ b/src/expertmap/replay/baselines.h
@@ -12,6 +12,6 @@
 
 /// The same packing with its ranks renamed, so that each rank of `held` gets a packed rank with which it shares much:
 /// the greatest overlaps are matched first.
-std::vector<ExpertIndex> renameRanks(const MapShape& shape, std::span<const ExpertIndex> held, std::span<const ExpertIndex> packed);
+std::vector<ExpertIndex> matchRanks(const MapShape& shape, std::span<const ExpertIndex> held, std::span<const ExpertIndex> packed);
 
 } // namespace swiftloft::expertmap::replay
--- a/src/expertmap/replay/policies.cc
+++ b/src/expertmap/replay/policies.cc
@@ -15,20 +15,20 @@
 
 Policy staticPolicy(const ExpertMap& initial)
 {
-    return { "static", [initial](const Moment&) { return initial; } };
+    return { "static", [initial](const PolicyInput&) { return initial; } };
 }
 
 namespace {
 
-ExpertMap pack(const Moment& moment, const LoadEstimate& estimate, const ExpertMap& current, bool isRenamed)
+ExpertMap pack(const PolicyInput& input, const LoadEstimate& estimate, const ExpertMap& current, bool isMatched)
 {
     auto& shape = current.shape();
     std::vector<ExpertIndex> slots;
     slots.reserve(current.slots().size());
     for (std::uint32_t n = 0; n < shape.layers; ++n) {
-        auto layer = packLayer(shape, estimate.fast(LayerIndex(n)), moment.speeds);
-        if (isRenamed)
-            layer = renameRanks(shape, current.layer(LayerIndex(n)), layer);
+        auto layer = packLayer(shape, estimate.fast(LayerIndex(n)), input.speeds);
+        if (isMatched)
+            layer = matchRanks(shape, current.layer(LayerIndex(n)), layer);
         slots.insert(slots.end(), layer.begin(), layer.end());
     }
     return ExpertMap::create(shape, std::move(slots)).value();
@@ -36,13 +36,13 @@
 
 } // namespace
 
-Policy repackPolicy(const ExpertMap& initial, bool isRenamed)
+Policy repackPolicy(const ExpertMap& initial, bool isMatched)
 {
     auto estimate = std::make_shared<LoadEstimate>(LoadEstimate::create(initial.shape(), {}).value());
     auto current = std::make_shared<ExpertMap>(initial);
-    return { isRenamed ? "repack-r" : "repack", [isRenamed, estimate, current](const Moment& moment) {
-                estimate->observe(moment.now, moment.report);
-                *current = pack(moment, *estimate, *current, isRenamed);
+    return { isMatched ? "repack-r" : "repack", [isMatched, estimate, current](const PolicyInput& input) {
+                estimate->observe(input.now, input.report);
+                *current = pack(input, *estimate, *current, isMatched);
                 return *current;
             } };
 }
@@ -50,11 +50,11 @@
 Policy plannerPolicy(std::string name, const ExpertMap& initial, const Planner::Options& options)
 {
     auto planner = std::make_shared<Planner>(Planner::create(options, initial).value());
-    return { std::move(name), [planner](const Moment& moment) {
-                planner->observe(moment.now, moment.report);
-                planner->setSpeeds(moment.speeds);
+    return { std::move(name), [planner](const PolicyInput& input) {
+                planner->observe(input.now, input.report);
+                planner->setSpeeds(input.speeds);
                 for (int n = 0; n < decisionsPerInterval; ++n) {
-                    if (planner->plan(moment.now, moment.minuteOfDay).reason != PlanReason::Moved)
+                    if (planner->plan(input.now, input.minuteOfDay).reason != PlanReason::Moved)
                         break;
                 }
                 return planner->current();
--- a/src/expertmap/replay/policies.h
+++ b/src/expertmap/replay/policies.h
@@ -9,7 +9,7 @@
 namespace swiftloft::expertmap::replay {
 
 /// What a policy sees at the end of an interval.
-struct Moment {
+struct PolicyInput {
     TimePoint now;
     std::uint32_t minuteOfDay { 0 };
     /// Tokens by layer and expert, one interval old.
@@ -21,14 +21,14 @@
 /// A policy under replay: given the moment, the map from the next interval on.
 struct Policy {
     std::string name;
-    std::function<ExpertMap(const Moment&)> decide;
+    std::function<ExpertMap(const PolicyInput&)> decide;
 };
 
 /// Each returns a policy that starts from `initial`.
 Policy staticPolicy(const ExpertMap& initial);
 /// Packs all layers anew at each interval. With `isRenamed`, ranks of the new packing are matched to those that already
 /// hold most of it, which spares bytes.
-Policy repackPolicy(const ExpertMap& initial, bool isRenamed);
+Policy repackPolicy(const ExpertMap& initial, bool isMatched);
 Policy plannerPolicy(std::string name, const ExpertMap& initial, const Planner::Options& options);
 
 /// Settings of the two firms: Vỉa Hè weighs skew, Rasoi Rahdari weighs moving and keeps quiet in its morning rush.
--- a/src/expertmap/replay/replay.cc
+++ b/src/expertmap/replay/replay.cc
@@ -35,9 +35,9 @@
 }
 
 /// One group under one policy.
-class Run {
+class ReplayRun {
 public:
-    Run(const Trace& trace, const ExpertMap& initial, const Policy& policy, const ReplayOptions& options)
+    ReplayRun(const Trace& trace, const ExpertMap& initial, const Policy& policy, const ReplayOptions& options)
         : m_trace(trace)
         , m_policy(policy)
         , m_options(options)
@@ -47,20 +47,20 @@
         , m_running(initial)
         , m_staged(initial)
     {
-        m_figures.policy = policy.name;
+        m_result.policy = policy.name;
     }
 
-    Figures run()
+    ReplayResult run()
     {
         for (std::uint32_t t = 0; t < m_trace.intervals(); ++t)
             runInterval(t);
-        m_figures.skewP50 = quantile(m_skews, 0.5);
-        m_figures.skewP99 = quantile(m_skews, 0.99);
-        m_figures.overLowerBound = std::accumulate(m_overBounds.begin(), m_overBounds.end(), 0.0) / static_cast<double>(m_overBounds.size());
-        m_figures.bytesMoved = Bytes(m_figures.expertsMoved * m_options.bytesPerExpert.value());
-        double seconds = static_cast<double>(m_figures.bytesMoved.value()) / static_cast<double>(m_options.storeBytesPerSecond.value());
-        m_figures.stepsDisturbed = static_cast<std::uint64_t>(std::ceil(seconds / m_options.stepSeconds));
-        return std::move(m_figures);
+        m_result.skewP50 = quantile(m_skews, 0.5);
+        m_result.skewP99 = quantile(m_skews, 0.99);
+        m_result.ratioToLowerBound = std::accumulate(m_boundRatios.begin(), m_boundRatios.end(), 0.0) / static_cast<double>(m_boundRatios.size());
+        m_result.bytesMoved = Bytes(m_result.expertsMoved * m_options.bytesPerExpert.value());
+        double seconds = static_cast<double>(m_result.bytesMoved.value()) / static_cast<double>(m_options.storeBytesPerSecond.value());
+        m_result.stepsDisturbed = static_cast<std::uint64_t>(std::ceil(seconds / m_options.stepSeconds));
+        return std::move(m_result);
     }
 
 private:
@@ -76,11 +76,11 @@
             skewSum += times.slowest / times.mean;
             if (t >= warmUpIntervals) {
                 m_skews.push_back(times.slowest / times.mean);
-                m_overBounds.push_back(times.slowest / times.lowerBound);
+                m_boundRatios.push_back(times.slowest / times.lowerBound);
             }
         }
         m_detector.observe(busy, tokens);
-        m_figures.intervals.push_back({ skewSum / m_options.stepsPerInterval, decide(t) });
+        m_result.intervals.push_back({ skewSum / m_options.stepsPerInterval, decide(t) });
     }
 
     /// What each rank gets of each expert, by the newest estimate.
@@ -88,14 +88,14 @@
     {
         auto& shape = m_trace.shape;
         auto speeds = m_detector.speeds();
-        m_portions.clear();
+        m_slotShares.clear();
         for (std::uint32_t n = 0; n < shape.layers; ++n) {
-            auto loads = m_estimate.forSplit(LayerIndex(n));
+            auto loads = m_estimate.splitShares(LayerIndex(n));
             LayerModel model(shape, m_running.layer(LayerIndex(n)), loads, speeds);
             for (std::uint32_t slot = 0; slot < shape.slotsPerLayer(); ++slot) {
                 auto expert = model.expertAt(slot);
                 bool isLoaded = expert != noExpert.value() && loads[expert] > 0;
-                m_portions.push_back(isLoaded ? model.shareOf(slot) / loads[expert] : 0);
+                m_slotShares.push_back(isLoaded ? model.shareOf(slot) / loads[expert] : 0);
             }
         }
     }
@@ -117,7 +117,7 @@
                 double load = 0;
                 for (auto slot = rank * shape.slotsPerRank; slot < (rank + 1) * shape.slotsPerRank; ++slot) {
                     if (slots[slot] != noExpert)
-                        load += m_portions[static_cast<std::size_t>(n) * shape.slotsPerLayer() + slot] * actual[slots[slot].value()];
+                        load += m_slotShares[static_cast<std::size_t>(n) * shape.slotsPerLayer() + slot] * actual[slots[slot].value()];
                 }
                 double time = load / speeds[rank];
                 busy[rank] += time;
@@ -147,10 +147,10 @@
         auto minute = m_trace.minuteOfDay(t + 1);
         auto next = m_policy.decide({ now, minute, m_trace.loads[t], speeds });
         auto moved = expertsMoved(m_staged, next);
-        m_figures.expertsMoved += moved;
-        m_figures.mapChanges += next != m_staged;
+        m_result.expertsMoved += moved;
+        m_result.mapChanges += next != m_staged;
         if (QuietHours { 420, 570 }.contains(minute))
-            m_figures.movedInQuietHours += moved;
+            m_result.movedInQuietHours += moved;
         m_staged = next;
         return moved;
     }
@@ -165,17 +165,17 @@
     ExpertMap m_running;
     ExpertMap m_staged;
     /// By layer and slot: the part of its expert's tokens that the slot gets.
-    std::vector<double> m_portions;
+    std::vector<double> m_slotShares;
     std::vector<double> m_skews;
-    std::vector<double> m_overBounds;
-    Figures m_figures;
+    std::vector<double> m_boundRatios;
+    ReplayResult m_result;
 };
 
 } // namespace
 
-Figures replay(const Trace& trace, const ExpertMap& initial, const Policy& policy, const ReplayOptions& options)
+ReplayResult replay(const Trace& trace, const ExpertMap& initial, const Policy& policy, const ReplayOptions& options)
 {
-    return Run(trace, initial, policy, options).run();
+    return ReplayRun(trace, initial, policy, options).run();
 }
 
 } // namespace swiftloft::expertmap::replay
--- a/src/expertmap/replay/replay.h
+++ b/src/expertmap/replay/replay.h
@@ -8,19 +8,19 @@
 namespace swiftloft::expertmap::replay {
 
 /// What one policy did in one interval.
-struct IntervalFigures {
+struct IntervalResult {
     double meanSkew { 0 };
     std::uint64_t expertsMoved { 0 };
 };
 
 /// What one policy did over a trace.
-struct Figures {
+struct ReplayResult {
     std::string policy;
     /// Time of the slowest rank over the mean rank time, layer by layer, over all sampled steps.
     double skewP50 { 0 };
     double skewP99 { 0 };
     /// Step time over its lower bound, mean of all sampled steps.
-    double overLowerBound { 0 };
+    double ratioToLowerBound { 0 };
     std::uint64_t expertsMoved { 0 };
     Bytes bytesMoved;
     std::uint64_t mapChanges { 0 };
@@ -28,7 +28,7 @@
     std::uint64_t movedInQuietHours { 0 };
     /// Steps run while some rank loaded weights, at the given rate of the weight store.
     std::uint64_t stepsDisturbed { 0 };
-    std::vector<IntervalFigures> intervals;
+    std::vector<IntervalResult> intervals;
 };
 
 struct ReplayOptions {
@@ -41,6 +41,6 @@
 
 /// Replays `trace` against `policy`. A report covers an interval and arrives at its end; the map decided then holds from
 /// the interval after the next one, as loading takes time. Tokens are split by the newest report for all policies alike.
-Figures replay(const Trace& trace, const ExpertMap& initial, const Policy& policy, const ReplayOptions& options);
+ReplayResult replay(const Trace& trace, const ExpertMap& initial, const Policy& policy, const ReplayOptions& options);
 
 } // namespace swiftloft::expertmap::replay
--- a/src/expertmap/replay/stragglers.cc
+++ b/src/expertmap/replay/stragglers.cc
@@ -36,9 +36,9 @@
     {
     }
 
-    const std::vector<bool>& judge(std::span<const double> times, std::span<const double> tokens)
+    const std::vector<bool>& update(std::span<const double> times, std::span<const double> tokens)
     {
-        auto now = test(times, tokens);
+        auto now = classify(times, tokens);
         for (std::size_t r = 0; r < now.size(); ++r) {
             m_streaks[r] = now[r] == m_flags[r] ? 0 : m_streaks[r] + 1;
             if (m_streaks[r] < m_setting.persistence)
@@ -50,13 +50,13 @@
     }
 
 private:
-    std::vector<bool> test(std::span<const double> times, std::span<const double> tokens) const
+    std::vector<bool> classify(std::span<const double> times, std::span<const double> tokens) const
     {
-        if (m_setting.kind == DetectorKind::StartOnStepTime)
+        if (m_setting.kind == DetectorKind::ParetoStepTime)
             return paretoStragglers(times, m_setting.factor);
         std::vector<double> perToken(times.size());
         std::transform(times.begin(), times.end(), tokens.begin(), perToken.begin(), [](double time, double n) { return time / std::max(n, 1.0); });
-        if (m_setting.kind == DetectorKind::Start)
+        if (m_setting.kind == DetectorKind::ParetoPerToken)
             return paretoStragglers(perToken, m_setting.factor);
         return overThreshold(perToken, m_setting.factor);
     }
@@ -67,44 +67,44 @@
 };
 
 /// A rank that is slow from one interval to another.
-struct Stretch {
+struct SlowPeriod {
     std::uint32_t rank { 0 };
     std::uint32_t from { 0 };
     std::uint32_t to { 0 };
-    bool isFound { false };
+    bool isDetected { false };
 };
 
 /// Slow stretches of more than one interval; a stall of one interval is no slow hardware.
-std::vector<Stretch> slowStretches(const Trace& trace)
+std::vector<SlowPeriod> findSlowPeriods(const Trace& trace)
 {
-    std::vector<Stretch> stretches;
+    std::vector<SlowPeriod> periods;
     for (std::uint32_t rank = 0; rank < trace.shape.ranks; ++rank) {
         std::uint32_t from = 0;
         bool isSlow = false;
         for (std::uint32_t t = 0; t <= trace.intervals(); ++t) {
-            bool isNow = t < trace.intervals() && trace.speedsAt(t)[rank] < 1;
-            if (isNow && !isSlow)
+            bool isSlowNow = t < trace.intervals() && trace.speedsAt(t)[rank] < 1;
+            if (isSlowNow && !isSlow)
                 from = t;
-            if (!isNow && isSlow && t - from > 1)
-                stretches.push_back({ rank, from, t });
-            isSlow = isNow;
+            if (!isSlowNow && isSlow && t - from > 1)
+                periods.push_back({ rank, from, t });
+            isSlow = isSlowNow;
         }
     }
-    return stretches;
+    return periods;
 }
 
-void judge(DetectionFigures& figures, std::vector<Stretch>& stretches, const std::vector<bool>& flags, std::uint32_t t, std::uint32_t step, std::uint32_t stepsPerInterval)
+void scoreFlags(DetectionResult& result, std::vector<SlowPeriod>& periods, const std::vector<bool>& flags, std::uint32_t t, std::uint32_t step, std::uint32_t stepsPerInterval)
 {
     for (std::uint32_t rank = 0; rank < flags.size(); ++rank) {
-        auto within = std::find_if(stretches.begin(), stretches.end(), [&](auto& it) { return it.rank == rank && t >= it.from && t < it.to; });
-        bool isSlow = within != stretches.end();
-        figures.truePositives += isSlow && flags[rank];
-        figures.falsePositives += !isSlow && flags[rank];
-        figures.falseNegatives += isSlow && !flags[rank];
-        if (isSlow && flags[rank] && !within->isFound) {
-            within->isFound = true;
-            ++figures.stretchesFound;
-            figures.stepsToDetect += (t - within->from) * stepsPerInterval + step + 1;
+        auto period = std::find_if(periods.begin(), periods.end(), [&](auto& it) { return it.rank == rank && t >= it.from && t < it.to; });
+        bool isSlow = period != periods.end();
+        result.truePositives += isSlow && flags[rank];
+        result.falsePositives += !isSlow && flags[rank];
+        result.falseNegatives += isSlow && !flags[rank];
+        if (isSlow && flags[rank] && !period->isDetected) {
+            period->isDetected = true;
+            ++result.slowPeriodsDetected;
+            result.stepsToDetect += (t - period->from) * stepsPerInterval + step + 1;
         }
     }
 }
@@ -128,19 +128,19 @@
     return flags;
 }
 
-double DetectionFigures::precision() const
+double DetectionResult::precision() const
 {
     auto flagged = truePositives + falsePositives;
     return flagged ? static_cast<double>(truePositives) / static_cast<double>(flagged) : 0;
 }
 
-double DetectionFigures::recall() const
+double DetectionResult::recall() const
 {
     auto slow = truePositives + falseNegatives;
     return slow ? static_cast<double>(truePositives) / static_cast<double>(slow) : 0;
 }
 
-double DetectionFigures::f1() const
+double DetectionResult::f1() const
 {
     double sum = precision() + recall();
     return sum > 0 ? 2 * precision() * recall() / sum : 0;
@@ -152,13 +152,13 @@
     return names[static_cast<std::size_t>(kind)];
 }
 
-DetectionFigures detect(const Trace& trace, const DetectorSetting& setting, std::uint32_t stepsPerInterval)
+DetectionResult detect(const Trace& trace, const DetectorSetting& setting, std::uint32_t stepsPerInterval)
 {
     boost::random::mt19937_64 random(trace.seed);
     boost::random::normal_distribution<double> normal;
-    auto stretches = slowStretches(trace);
-    DetectionFigures figures { setting };
-    figures.stretches = stretches.size();
+    auto periods = findSlowPeriods(trace);
+    DetectionResult result { setting };
+    result.slowPeriods = periods.size();
     auto& shape = trace.shape;
     Detector detector(setting, shape.ranks);
     for (std::uint32_t t = 0; t < trace.intervals(); ++t) {
@@ -173,23 +173,23 @@
                 tokens[r] = std::max(1.0, mean[r] + std::sqrt(mean[r]) * normal(random));
                 times[r] = tokens[r] / speeds[r] * std::exp(timeSpread * normal(random));
             }
-            judge(figures, stretches, detector.judge(times, tokens), t, step, stepsPerInterval);
+            scoreFlags(result, periods, detector.update(times, tokens), t, step, stepsPerInterval);
         }
     }
-    if (figures.stretchesFound > 0)
-        figures.stepsToDetect /= static_cast<double>(figures.stretchesFound);
-    return figures;
+    if (result.slowPeriodsDetected > 0)
+        result.stepsToDetect /= static_cast<double>(result.slowPeriodsDetected);
+    return result;
 }
 
 DetectorSetting tune(DetectorKind kind, const Trace& training, std::uint32_t stepsPerInterval)
 {
-    DetectionFigures best;
+    DetectionResult best;
     best.setting = { kind, factorGrid[0], persistenceGrid[0] };
     for (auto factor : factorGrid) {
         for (auto persistence : persistenceGrid) {
-            auto figures = detect(training, { kind, factor, persistence }, stepsPerInterval);
-            if (figures.f1() > best.f1())
-                best = figures;
+            auto result = detect(training, { kind, factor, persistence }, stepsPerInterval);
+            if (result.f1() > best.f1())
+                best = result;
         }
     }
     return best.setting;
--- a/src/expertmap/replay/stragglers.h
+++ b/src/expertmap/replay/stragglers.h
@@ -12,9 +12,9 @@
 
 enum class DetectorKind {
     /// START's Pareto tail on the time a token takes.
-    Start,
+    ParetoPerToken,
     /// START's Pareto tail on the raw step time, as the paper has it.
-    StartOnStepTime,
+    ParetoStepTime,
     /// A multiple of the median time a token takes.
     Threshold,
 };
@@ -30,15 +30,15 @@
 };
 
 /// How well a method found the ranks that were slow for more than one interval. Each rank and step is judged.
-struct DetectionFigures {
+struct DetectionResult {
     DetectorSetting setting;
     std::uint64_t truePositives { 0 };
     std::uint64_t falsePositives { 0 };
     std::uint64_t falseNegatives { 0 };
     /// Mean steps from the start of a slow stretch to its first detection, of those detected at all.
     double stepsToDetect { 0 };
-    std::uint64_t stretches { 0 };
-    std::uint64_t stretchesFound { 0 };
+    std::uint64_t slowPeriods { 0 };
+    std::uint64_t slowPeriodsDetected { 0 };
 
     double precision() const;
     double recall() const;
@@ -46,7 +46,7 @@
     double f1() const;
 };
 
-DetectionFigures detect(const Trace& trace, const DetectorSetting& setting, std::uint32_t stepsPerInterval);
+DetectionResult detect(const Trace& trace, const DetectorSetting& setting, std::uint32_t stepsPerInterval);
 
 /// The setting of this kind, of a grid over factor and persistence, with the best F1 on `training`.
 DetectorSetting tune(DetectorKind kind, const Trace& training, std::uint32_t stepsPerInterval);
--- a/src/expertmap/replay/trace-generator.cc
+++ b/src/expertmap/replay/trace-generator.cc
@@ -25,10 +25,10 @@
 constexpr double intervalSpread = 0.05;
 constexpr double pureNoiseSpread = 0.2;
 constexpr std::uint32_t oscillationIntervals = 4;
-constexpr std::size_t kindsOfWork = 3;
+constexpr std::size_t workloadKinds = 3;
 
 /// A stretch of the day with more of one kind of work.
-struct Cluster {
+struct DemandPeak {
     std::size_t kind { 0 };
     double fromMinute { 0 };
     double toMinute { 0 };
@@ -37,48 +37,48 @@
     double ramp { 30 };
 };
 
-double strengthAt(const Cluster& cluster, double minute)
+double weightAt(const DemandPeak& peak, double minute)
 {
-    double rise = std::clamp((minute - cluster.fromMinute) / cluster.ramp, 0.0, 1.0);
-    double fall = std::clamp((cluster.toMinute - minute) / cluster.ramp, 0.0, 1.0);
-    return cluster.weight * std::min(rise, fall);
+    double rise = std::clamp((minute - peak.fromMinute) / peak.ramp, 0.0, 1.0);
+    double fall = std::clamp((peak.toMinute - minute) / peak.ramp, 0.0, 1.0);
+    return peak.weight * std::min(rise, fall);
 }
 
 /// Kinds: 0 application letters, 1 ward notices, 2 floor plans. Letters before the filing windows close at 11:00 and
 /// 16:30; notices come in bursts.
-std::vector<Cluster> hanoiClusters(Random& random)
+std::vector<DemandPeak> hanoiPeaks(Random& random)
 {
-    std::vector<Cluster> clusters { { 0, 450, 660, 4 }, { 0, 810, 990, 4 }, { 2, 1080, 1290, 2 } };
+    std::vector<DemandPeak> peaks { { 0, 450, 660, 4 }, { 0, 810, 990, 4 }, { 2, 1080, 1290, 2 } };
     boost::random::uniform_real_distribution<double> start(420, 1020);
     for (int n = 0; n < 4; ++n) {
         double from = start(random);
-        clusters.push_back({ 1, from, from + 45, 3, 10 });
+        peaks.push_back({ 1, from, from + 45, 3, 10 });
     }
-    return clusters;
+    return peaks;
 }
 
 /// Kinds: 0 route redrafts, 1 reroutes explained to drivers, 2 caterers' questions. The morning rush, and kitchens that
 /// run late together at noon and in the evening.
-std::vector<Cluster> gujaratClusters(Random& random)
+std::vector<DemandPeak> gujaratPeaks(Random& random)
 {
-    std::vector<Cluster> clusters { { 1, 420, 570, 4 }, { 2, 900, 1080, 2 } };
+    std::vector<DemandPeak> peaks { { 1, 420, 570, 4 }, { 2, 900, 1080, 2 } };
     boost::random::uniform_real_distribution<double> noon(660, 780);
     boost::random::uniform_real_distribution<double> evening(1080, 1200);
     for (auto* when : { &noon, &evening }) {
         for (int n = 0; n < 2; ++n) {
             double from = (*when)(random);
-            clusters.push_back({ 0, from, from + 60, 4, 15 });
+            peaks.push_back({ 0, from, from + 60, 4, 15 });
         }
     }
-    return clusters;
+    return peaks;
 }
 
-class Generator {
+class TraceGenerator {
 public:
-    Generator(TraceKind kind, const MapShape& shape, std::uint32_t intervals, std::uint64_t seed)
+    TraceGenerator(TraceKind kind, const MapShape& shape, std::uint32_t intervals, std::uint64_t seed)
         : m_kind(kind)
         , m_random(seed)
-        , m_width(static_cast<std::size_t>(shape.layers) * shape.experts)
+        , m_loadsPerInterval(static_cast<std::size_t>(shape.layers) * shape.experts)
     {
         m_trace.name = fmt::format("{}-{}x{}", toString(kind), shape.ranks, shape.experts);
         m_trace.shape = shape;
@@ -89,9 +89,9 @@
 
     Trace run()
     {
-        for (auto& work : m_works)
-            work = drawWork();
-        m_clusters = m_kind == TraceKind::GujaratDay ? gujaratClusters(m_random) : hanoiClusters(m_random);
+        for (auto& workload : m_popularity)
+            workload = drawPopularity();
+        m_peaks = m_kind == TraceKind::GujaratDay ? gujaratPeaks(m_random) : hanoiPeaks(m_random);
         for (std::uint32_t t = 0; t < m_trace.intervals(); ++t) {
             drift();
             m_trace.loads[t] = loadsAt(t);
@@ -104,30 +104,30 @@
 private:
     double normal(double spread) { return boost::random::normal_distribution<double>(0, spread)(m_random); }
 
-    std::vector<double> drawWork()
+    std::vector<double> drawPopularity()
     {
-        std::vector<double> logs(m_width);
+        std::vector<double> logs(m_loadsPerInterval);
         std::generate(logs.begin(), logs.end(), [this] { return normal(popularitySpread); });
         return logs;
     }
 
     void drift()
     {
-        for (auto& work : m_works) {
-            for (auto& it : work)
+        for (auto& workload : m_popularity) {
+            for (auto& it : workload)
                 it += normal(driftSpread) - driftSpread * driftSpread / (2 * popularitySpread * popularitySpread) * it;
         }
     }
 
     std::vector<double> mixAt(std::uint32_t interval) const
     {
-        std::vector<double> mix(kindsOfWork, 1.0);
+        std::vector<double> mix(workloadKinds, 1.0);
         if (m_kind == TraceKind::Flip)
             return interval < m_trace.intervals() / 2 ? std::vector<double> { 1, 0, 0 } : std::vector<double> { 0, 1, 0 };
         if (m_kind == TraceKind::Oscillation)
             return interval / oscillationIntervals % 2 == 0 ? std::vector<double> { 1, 0, 0 } : std::vector<double> { 0, 1, 0 };
-        for (auto& cluster : m_clusters)
-            mix[cluster.kind] += strengthAt(cluster, m_trace.minuteOfDay(interval));
+        for (auto& peak : m_peaks)
+            mix[peak.kind] += weightAt(peak, m_trace.minuteOfDay(interval));
         return mix;
     }
 
@@ -135,10 +135,10 @@
     {
         auto mix = mixAt(interval);
         bool isNoise = m_kind == TraceKind::Noise;
-        std::vector<double> loads(m_width, 0.0);
-        for (std::size_t n = 0; n < m_width; ++n) {
-            for (std::size_t k = 0; k < kindsOfWork; ++k)
-                loads[n] += isNoise ? 1.0 : mix[k] * std::exp(m_works[k][n]);
+        std::vector<double> loads(m_loadsPerInterval, 0.0);
+        for (std::size_t n = 0; n < m_loadsPerInterval; ++n) {
+            for (std::size_t k = 0; k < workloadKinds; ++k)
+                loads[n] += isNoise ? 1.0 : mix[k] * std::exp(m_popularity[k][n]);
             loads[n] *= std::exp(normal(isNoise ? pureNoiseSpread : intervalSpread));
         }
         auto experts = m_trace.shape.experts;
@@ -178,17 +178,17 @@
 
     TraceKind m_kind;
     Random m_random;
-    std::size_t m_width;
+    std::size_t m_loadsPerInterval;
     Trace m_trace;
-    std::vector<double> m_works[kindsOfWork];
-    std::vector<Cluster> m_clusters;
+    std::vector<double> m_popularity[workloadKinds];
+    std::vector<DemandPeak> m_peaks;
 };
 
 } // namespace
 
-Trace generate(TraceKind kind, const MapShape& shape, std::uint32_t intervals, std::uint64_t seed)
+Trace generateTrace(TraceKind kind, const MapShape& shape, std::uint32_t intervals, std::uint64_t seed)
 {
-    return Generator(kind, shape, intervals, seed).run();
+    return TraceGenerator(kind, shape, intervals, seed).run();
 }
 
 } // namespace swiftloft::expertmap::replay
--- a/src/expertmap/replay/trace.cc
+++ b/src/expertmap/replay/trace.cc
@@ -21,7 +21,7 @@
 }
 
 /// Reads one `key value...` line into the trace; the text of the fault, or empty.
-std::string readLine(Trace& trace, const std::string& text)
+std::string parseLine(Trace& trace, const std::string& text)
 {
     std::istringstream line(text);
     std::string key;
@@ -85,7 +85,7 @@
     return speeds;
 }
 
-void write(std::ostream& out, const Trace& trace)
+void writeTrace(std::ostream& out, const Trace& trace)
 {
     fmt::print(out, "{}\nname {}\nranks {}\nlayers {}\nexperts {}\nslots-per-rank {}\n", magic, trace.name, trace.shape.ranks,
         trace.shape.layers, trace.shape.experts, trace.shape.slotsPerRank);
@@ -103,19 +103,19 @@
     }
 }
 
-Result<Trace> read(std::istream& in)
+Result<Trace> readTrace(std::istream& in)
 {
     Trace trace;
     std::string text;
     if (!std::getline(in, text) || text != magic)
         return malformed(1, "not a trace");
     for (std::size_t line = 2; std::getline(in, text); ++line) {
-        auto fault = readLine(trace, text);
-        if (!fault.empty())
-            return malformed(line, fault);
+        auto error = parseLine(trace, text);
+        if (!error.empty())
+            return malformed(line, error);
     }
-    auto whole = static_cast<std::size_t>(trace.shape.layers) * trace.shape.experts;
-    if (whole == 0 || trace.loads.empty() || trace.loads.back().size() != whole || !(trace.tokensPerStep > 0))
+    auto valuesPerInterval = static_cast<std::size_t>(trace.shape.layers) * trace.shape.experts;
+    if (valuesPerInterval == 0 || trace.loads.empty() || trace.loads.back().size() != valuesPerInterval || !(trace.tokensPerStep > 0))
         return malformed(0, "the trace ends early");
     return trace;
 }
--- a/src/expertmap/replay/trace.h
+++ b/src/expertmap/replay/trace.h
@@ -36,9 +36,9 @@
     std::vector<double> speedsAt(std::uint32_t interval) const;
 };
 
-void write(std::ostream& out, const Trace& trace);
+void writeTrace(std::ostream& out, const Trace& trace);
 /// Fails with `MalformedInput`, naming the line, when the text is no whole trace.
-Result<Trace> read(std::istream& in);
+Result<Trace> readTrace(std::istream& in);
 
 /// The kinds of trace the generator makes.
 enum class TraceKind {
@@ -55,6 +55,6 @@
 const char* toString(TraceKind kind);
 
 /// The same kind, shape, length and seed give the same trace.
-Trace generate(TraceKind kind, const MapShape& shape, std::uint32_t intervals, std::uint64_t seed);
+Trace generateTrace(TraceKind kind, const MapShape& shape, std::uint32_t intervals, std::uint64_t seed);
 
 } // namespace swiftloft::expertmap::replay
--- a/src/expertmap/replica-layer.cc
+++ b/src/expertmap/replica-layer.cc
@@ -9,7 +9,7 @@
 
 /// Power of the norm that stands for the greatest load: high enough that the most loaded rank rules, low enough that one
 /// of several equally loaded ranks counts when it improves.
-double power(double x)
+double pow12(double x)
 {
     auto x2 = x * x;
     auto x4 = x2 * x2;
@@ -18,7 +18,7 @@
 }
 
 /// Gains below this are rounding.
-constexpr double leastGain = 1e-6;
+constexpr double minGain = 1e-6;
 
 } // namespace
 
@@ -63,7 +63,7 @@
     : m_ranks(shape.ranks)
     , m_slotsPerRank(shape.slotsPerRank)
     , m_slots(slots.begin(), slots.end())
-    , m_slotsOf(shape.experts)
+    , m_slotsOfExpert(shape.experts)
     , m_tokens(tokens.begin(), tokens.end())
     , m_paces(paces.begin(), paces.end())
     , m_loads(shape.ranks)
@@ -71,18 +71,18 @@
 {
     for (std::uint32_t n = 0; n < m_slots.size(); ++n) {
         if (m_slots[n] != noExpert)
-            m_slotsOf[m_slots[n].value()].push_back(n);
+            m_slotsOfExpert[m_slots[n].value()].push_back(n);
     }
     for (std::uint32_t expert = 0; expert < shape.experts; ++expert) {
-        for (auto slot : m_slotsOf[expert])
+        for (auto slot : m_slotsOfExpert[expert])
             m_loads[rankOf(slot)] += shareOf(expert);
     }
-    m_mean = std::accumulate(m_loads.begin(), m_loads.end(), 0.0) / m_ranks;
+    m_meanLoad = std::accumulate(m_loads.begin(), m_loads.end(), 0.0) / m_ranks;
     for (std::uint32_t rank = 0; rank < m_ranks; ++rank)
         setLoad(rank, m_loads[rank]);
 }
 
-std::uint32_t ReplicaLayer::hottestRank() const
+std::uint32_t ReplicaLayer::slowestRank() const
 {
     std::uint32_t hottest = 0;
     for (std::uint32_t rank = 1; rank < m_ranks; ++rank) {
@@ -92,20 +92,20 @@
     return hottest;
 }
 
-double ReplicaLayer::peak() const
+double ReplicaLayer::peakRatio() const
 {
-    return m_mean > 0 ? timeOf(hottestRank()) / m_mean : 0;
+    return m_meanLoad > 0 ? timeOf(slowestRank()) / m_meanLoad : 0;
 }
 
 bool ReplicaLayer::holds(std::uint32_t rank, std::uint32_t expert) const
 {
-    auto& slots = m_slotsOf[expert];
+    auto& slots = m_slotsOfExpert[expert];
     return std::any_of(slots.begin(), slots.end(), [&](auto slot) { return rankOf(slot) == rank; });
 }
 
 double ReplicaLayer::costOf(std::uint32_t rank, double load) const
 {
-    return m_mean > 0 ? power(load * m_paces[rank] / m_mean) : 0;
+    return m_meanLoad > 0 ? pow12(load * m_paces[rank] / m_meanLoad) : 0;
 }
 
 void ReplicaLayer::setLoad(std::uint32_t rank, double load)
@@ -114,26 +114,26 @@
     m_costs[rank] = costOf(rank, load);
 }
 
-void ReplicaLayer::collect(const ReplicaChange& change, LoadChanges& changes) const
+void ReplicaLayer::collectLoadChanges(const ReplicaChange& change, LoadChanges& changes) const
 {
     changes.clear();
     auto rank = rankOf(change.slot);
     auto dropped = m_slots[change.slot];
-    if (change.backSlot) {
+    if (change.swapSlot) {
         // A swap: each expert keeps its number of replicas.
         auto moved = shareOf(change.expert) - shareOf(dropped.value());
         changes.add(rank, moved);
-        changes.add(rankOf(*change.backSlot), -moved);
+        changes.add(rankOf(*change.swapSlot), -moved);
         return;
     }
-    auto& replicas = m_slotsOf[change.expert];
+    auto& replicas = m_slotsOfExpert[change.expert];
     auto share = m_tokens[change.expert] / static_cast<double>(replicas.size() + 1);
     for (auto slot : replicas)
         changes.add(rankOf(slot), share - shareOf(change.expert));
     changes.add(rank, share);
     if (dropped == noExpert)
         return;
-    auto& droppedReplicas = m_slotsOf[dropped.value()];
+    auto& droppedReplicas = m_slotsOfExpert[dropped.value()];
     auto before = shareOf(dropped.value());
     auto after = m_tokens[dropped.value()] / static_cast<double>(droppedReplicas.size() - 1);
     for (auto slot : droppedReplicas)
@@ -149,9 +149,9 @@
 }
 
 /// Keeps the change with the best gain of those that it is shown.
-class ReplicaLayer::Best {
+class ReplicaLayer::BestChange {
 public:
-    explicit Best(const ReplicaLayer& layer)
+    explicit BestChange(const ReplicaLayer& layer)
         : m_layer(layer)
         , m_changes(layer.m_ranks)
     {
@@ -159,7 +159,7 @@
 
     void consider(const ReplicaChange& change)
     {
-        m_layer.collect(change, m_changes);
+        m_layer.collectLoadChanges(change, m_changes);
         auto gain = m_layer.costSaved(m_changes) / change.copies();
         if (gain <= m_gain)
             return;
@@ -173,42 +173,42 @@
 private:
     const ReplicaLayer& m_layer;
     LoadChanges m_changes;
-    double m_gain { leastGain };
+    double m_gain { minGain };
     std::optional<ReplicaChange> m_change;
 };
 
-std::optional<ReplicaChange> ReplicaLayer::best(std::span<const std::uint32_t> mayTake) const
+std::optional<ReplicaChange> ReplicaLayer::findBestChange(std::span<const std::uint32_t> copyBudgets) const
 {
-    if (m_mean <= 0)
+    if (m_meanLoad <= 0)
         return std::nullopt;
-    auto hot = hottestRank();
-    Best best(*this);
+    auto hot = slowestRank();
+    BestChange best(*this);
     auto firstSlot = hot * m_slotsPerRank;
     // Replicas first: they cost one copy where a swap costs two, and what they gain rules most swaps out unseen.
     for (auto slot = firstSlot; slot < firstSlot + m_slotsPerRank; ++slot) {
         if (m_slots[slot] != noExpert)
-            considerReplicas(hot, m_slots[slot].value(), mayTake, best);
+            considerReplicas(hot, m_slots[slot].value(), copyBudgets, best);
     }
-    for (auto slot = firstSlot; slot < firstSlot + m_slotsPerRank && mayTake[hot] > 0; ++slot) {
+    for (auto slot = firstSlot; slot < firstSlot + m_slotsPerRank && copyBudgets[hot] > 0; ++slot) {
         if (m_slots[slot] != noExpert)
-            considerSwaps(hot, slot, mayTake, best);
+            considerSwaps(hot, slot, copyBudgets, best);
     }
     return best.change();
 }
 
-bool ReplicaLayer::mayMoveTo(std::uint32_t rank, std::uint32_t hot, std::uint32_t expert, std::span<const std::uint32_t> mayTake) const
+bool ReplicaLayer::mayMoveTo(std::uint32_t rank, std::uint32_t hot, std::uint32_t expert, std::span<const std::uint32_t> copyBudgets) const
 {
-    return rank != hot && mayTake[rank] > 0 && timeOf(rank) < timeOf(hot) && !holds(rank, expert);
+    return rank != hot && copyBudgets[rank] > 0 && timeOf(rank) < timeOf(hot) && !holds(rank, expert);
 }
 
-void ReplicaLayer::considerReplicas(std::uint32_t hot, std::uint32_t expert, std::span<const std::uint32_t> mayTake, Best& best) const
+void ReplicaLayer::considerReplicas(std::uint32_t hot, std::uint32_t expert, std::span<const std::uint32_t> copyBudgets, BestChange& best) const
 {
     // Of the empty slots one on the least loaded rank is the best: the same tokens cost most where most are.
     std::optional<std::uint32_t> empty;
     for (std::uint32_t slot = 0; slot < m_slots.size(); ++slot) {
         auto other = m_slots[slot];
-        bool isFree = other == noExpert || m_slotsOf[other.value()].size() > 1;
-        if (!isFree || !mayMoveTo(rankOf(slot), hot, expert, mayTake))
+        bool isFree = other == noExpert || m_slotsOfExpert[other.value()].size() > 1;
+        if (!isFree || !mayMoveTo(rankOf(slot), hot, expert, copyBudgets))
             continue;
         if (other != noExpert)
             best.consider({ slot, expert, std::nullopt });
@@ -219,39 +219,39 @@
         best.consider({ *empty, expert, std::nullopt });
 }
 
-void ReplicaLayer::considerSwaps(std::uint32_t hot, std::uint32_t hotSlot, std::span<const std::uint32_t> mayTake, Best& best) const
+void ReplicaLayer::considerSwaps(std::uint32_t hot, std::uint32_t hotSlot, std::span<const std::uint32_t> copyBudgets, BestChange& best) const
 {
     auto expert = m_slots[hotSlot].value();
-    constexpr double copiesOfSwap = 2;
+    constexpr double copiesPerSwap = 2;
     // No swap gains more than one that leaves all of the expert's tokens to nobody.
-    double mostGain = (m_costs[hot] - costOf(hot, m_loads[hot] - shareOf(expert))) / copiesOfSwap;
-    if (mostGain <= best.gain())
+    double maxGain = (m_costs[hot] - costOf(hot, m_loads[hot] - shareOf(expert))) / copiesPerSwap;
+    if (maxGain <= best.gain())
         return;
     for (std::uint32_t slot = 0; slot < m_slots.size(); ++slot) {
         auto other = m_slots[slot];
-        if (other == noExpert || !mayMoveTo(rankOf(slot), hot, expert, mayTake))
+        if (other == noExpert || !mayMoveTo(rankOf(slot), hot, expert, copyBudgets))
             continue;
         if (!holds(hot, other.value()) && shareOf(other.value()) < shareOf(expert))
             best.consider({ slot, expert, hotSlot });
     }
 }
 
-void ReplicaLayer::make(const ReplicaChange& change)
+void ReplicaLayer::apply(const ReplicaChange& change)
 {
     LoadChanges changes(m_ranks);
-    collect(change, changes);
+    collectLoadChanges(change, changes);
     for (auto rank : changes.touched())
         setLoad(rank, m_loads[rank] + changes.addedTo(rank));
     auto dropped = m_slots[change.slot];
     if (dropped != noExpert)
-        std::erase(m_slotsOf[dropped.value()], change.slot);
+        std::erase(m_slotsOfExpert[dropped.value()], change.slot);
     m_slots[change.slot] = ExpertIndex(change.expert);
-    if (change.backSlot) {
-        std::erase(m_slotsOf[change.expert], *change.backSlot);
-        m_slots[*change.backSlot] = dropped;
-        m_slotsOf[dropped.value()].push_back(*change.backSlot);
+    if (change.swapSlot) {
+        std::erase(m_slotsOfExpert[change.expert], *change.swapSlot);
+        m_slots[*change.swapSlot] = dropped;
+        m_slotsOfExpert[dropped.value()].push_back(*change.swapSlot);
     }
-    m_slotsOf[change.expert].push_back(change.slot);
+    m_slotsOfExpert[change.expert].push_back(change.slot);
 }
 
 } // namespace swiftloft::expertmap::internal
--- a/src/expertmap/replica-planner.cc
+++ b/src/expertmap/replica-planner.cc
@@ -14,20 +14,20 @@
 namespace {
 
 /// Of a report in the mean unlikeness: twenty reports or so make it, a second of them.
-constexpr double unlikenessWeight = 0.05;
+constexpr double dissimilarityWeight = 0.05;
 
-std::span<const double> layerOf(std::span<const double> tokens, std::uint32_t layer, const MapShape& shape)
+std::span<const double> layerSlice(std::span<const double> tokens, std::uint32_t layer, const MapShape& shape)
 {
     return tokens.subspan(static_cast<std::size_t>(layer) * shape.experts, shape.experts);
 }
 
-double tokensOf(std::span<const double> tokens)
+double totalTokens(std::span<const double> tokens)
 {
     return std::accumulate(tokens.begin(), tokens.end(), 0.0);
 }
 
 /// Cosine of two demands: 1 when they ask for the experts in the same proportions. Layers without tokens are alike.
-double likeness(std::span<const double> one, std::span<const double> other)
+double cosineSimilarity(std::span<const double> one, std::span<const double> other)
 {
     double product = std::inner_product(one.begin(), one.end(), other.begin(), 0.0);
     double squares = std::inner_product(one.begin(), one.end(), one.begin(), 0.0) * std::inner_product(other.begin(), other.end(), other.begin(), 0.0);
@@ -38,7 +38,7 @@
 
 Result<ReplicaPlanner> ReplicaPlanner::create(const MapShape& shape, const Options& options)
 {
-    if (options.halfLife <= milliseconds(0) || options.newPerRankAndLayer == 0 || options.newPerRank == 0)
+    if (options.halfLife <= milliseconds(0) || options.maxCopiesPerRankAndLayer == 0 || options.maxCopiesPerRank == 0)
         return Error { ErrorCode::InvalidArgument, "the memory and the experts that a rank takes in must be positive" };
     return ReplicaPlanner(shape, options);
 }
@@ -46,16 +46,16 @@
 ReplicaPlanner::ReplicaPlanner(const MapShape& shape, const Options& options)
     : m_shape(shape)
     , m_options(options)
-    , m_tokens(static_cast<std::size_t>(shape.layers) * shape.experts)
+    , m_decayedTokens(static_cast<std::size_t>(shape.layers) * shape.experts)
     , m_paces(shape.ranks, 1.0)
-    , m_recent(m_tokens.size())
-    , m_usualUnlikeness(options.usualUnlikeness)
+    , m_recentTokens(m_decayedTokens.size())
+    , m_baselineDissimilarity(options.baselineDissimilarity)
 {
 }
 
 std::optional<Error> ReplicaPlanner::observe(TimePoint now, std::span<const double> tokens)
 {
-    if (tokens.size() != m_tokens.size())
+    if (tokens.size() != m_decayedTokens.size())
         return Error { ErrorCode::InvalidArgument, "a report has not one value for each layer and expert" };
     if (std::any_of(tokens.begin(), tokens.end(), [](double it) { return !std::isfinite(it) || it < 0; }))
         return Error { ErrorCode::InvalidArgument, "a token count is negative or not a number" };
@@ -63,47 +63,47 @@
     auto keep = std::exp2(-elapsed / static_cast<double>(m_options.halfLife.count()));
     m_observedAt = now;
     for (std::size_t n = 0; n < tokens.size(); ++n) {
-        m_tokens[n] *= keep;
-        m_recent[n] += tokens[n];
+        m_decayedTokens[n] *= keep;
+        m_recentTokens[n] += tokens[n];
     }
-    if (tokensOf(layerOf(m_recent, 0, m_shape)) < m_options.minTokens)
+    if (totalTokens(layerSlice(m_recentTokens, 0, m_shape)) < m_options.minTokens)
         return std::nullopt;
     // Failure: demand shifts at once, and a plan from a mixture of the old and the new demand copies experts that nobody
     // needs; while they are copied every stream is slow. Forgotten, the old demand spoils no plan (a first map right
     // after each shift instead of the second).
-    if (noteUnlikeness()) {
+    if (detectShift()) {
         m_shiftedAt = now;
-        std::fill(m_tokens.begin(), m_tokens.end(), 0.0);
+        std::fill(m_decayedTokens.begin(), m_decayedTokens.end(), 0.0);
     }
-    std::transform(m_tokens.begin(), m_tokens.end(), m_recent.begin(), m_tokens.begin(), std::plus<>());
-    std::fill(m_recent.begin(), m_recent.end(), 0.0);
+    std::transform(m_decayedTokens.begin(), m_decayedTokens.end(), m_recentTokens.begin(), m_decayedTokens.begin(), std::plus<>());
+    std::fill(m_recentTokens.begin(), m_recentTokens.end(), 0.0);
     return std::nullopt;
 }
 
 /// True when what was reported last is so unlike the memory that demand must have shifted.
-bool ReplicaPlanner::noteUnlikeness()
+bool ReplicaPlanner::detectShift()
 {
-    if (!isKnown())
+    if (!hasEnoughTokens())
         return false;
     double sum = 0;
     for (std::uint32_t n = 0; n < m_shape.layers; ++n)
-        sum += 1 - likeness(layerTokens(n), layerOf(m_recent, n, m_shape));
-    double unlikeness = sum / m_shape.layers;
-    double usual = std::max(m_usualUnlikeness, m_options.usualUnlikeness / 3);
-    if (unlikeness > m_options.shiftAbove * usual)
+        sum += 1 - cosineSimilarity(layerTokens(n), layerSlice(m_recentTokens, n, m_shape));
+    double dissimilarity = sum / m_shape.layers;
+    double baseline = std::max(m_baselineDissimilarity, m_options.baselineDissimilarity / 3);
+    if (dissimilarity > m_options.shiftThreshold * baseline)
         return true;
-    m_usualUnlikeness += (unlikeness - m_usualUnlikeness) * unlikenessWeight;
+    m_baselineDissimilarity += (dissimilarity - m_baselineDissimilarity) * dissimilarityWeight;
     return false;
 }
 
 std::span<const double> ReplicaPlanner::layerTokens(std::uint32_t layer) const
 {
-    return layerOf(m_tokens, layer, m_shape);
+    return layerSlice(m_decayedTokens, layer, m_shape);
 }
 
-bool ReplicaPlanner::isKnown() const
+bool ReplicaPlanner::hasEnoughTokens() const
 {
-    return tokensOf(layerTokens(0)) >= m_options.minTokens;
+    return totalTokens(layerTokens(0)) >= m_options.minTokens;
 }
 
 void ReplicaPlanner::setPace(RankIndex rank, double pace)
@@ -116,29 +116,29 @@
 {
     double sum = 0;
     for (std::uint32_t n = 0; n < m_shape.layers; ++n)
-        sum += ReplicaLayer(m_shape, map.layer(LayerIndex(n)), layerTokens(n), m_paces).peak();
+        sum += ReplicaLayer(m_shape, map.layer(LayerIndex(n)), layerTokens(n), m_paces).peakRatio();
     return sum / m_shape.layers;
 }
 
 namespace {
 
 /// The search over all layers, with what each rank has taken in so far.
-class Search {
+class MapSearch {
 public:
-    Search(const MapShape& shape, const ReplicaPlanner::Options& options, std::vector<ReplicaLayer> layers)
+    MapSearch(const MapShape& shape, const ReplicaPlanner::Options& options, std::vector<ReplicaLayer> layers)
         : m_shape(shape)
         , m_options(options)
         , m_layers(std::move(layers))
         , m_isDone(shape.layers)
-        , m_takenByRank(shape.ranks)
-        , m_takenByLayer(shape.layers, std::vector<std::uint32_t>(shape.ranks))
+        , m_copiesByRank(shape.ranks)
+        , m_copiesByLayer(shape.layers, std::vector<std::uint32_t>(shape.ranks))
     {
     }
 
     /// Sum of the layers' peaks: what a step takes.
     double stepTime() const
     {
-        return std::accumulate(m_layers.begin(), m_layers.end(), 0.0, [](double sum, auto& it) { return sum + it.peak(); });
+        return std::accumulate(m_layers.begin(), m_layers.end(), 0.0, [](double sum, auto& it) { return sum + it.peakRatio(); });
     }
 
     void run()
@@ -161,7 +161,7 @@
     {
         std::optional<std::uint32_t> worst;
         for (std::uint32_t n = 0; n < m_shape.layers; ++n) {
-            if (!m_isDone[n] && (!worst || m_layers[n].peak() > m_layers[*worst].peak()))
+            if (!m_isDone[n] && (!worst || m_layers[n].peakRatio() > m_layers[*worst].peakRatio()))
                 worst = n;
         }
         return worst;
@@ -169,41 +169,41 @@
 
     void improve(std::uint32_t layer)
     {
-        auto found = m_layers[layer].peak() > m_options.evenEnough ? m_layers[layer].best(mayTake(layer)) : std::nullopt;
+        auto found = m_layers[layer].peakRatio() > m_options.balancedPeakRatio ? m_layers[layer].findBestChange(copyBudgets(layer)) : std::nullopt;
         if (!found) {
             m_isDone[layer] = true;
             return;
         }
-        take(layer, found->slot);
-        if (found->backSlot)
-            take(layer, *found->backSlot);
-        m_layers[layer].make(*found);
+        countCopy(layer, found->slot);
+        if (found->swapSlot)
+            countCopy(layer, *found->swapSlot);
+        m_layers[layer].apply(*found);
     }
 
-    std::vector<std::uint32_t> mayTake(std::uint32_t layer) const
+    std::vector<std::uint32_t> copyBudgets(std::uint32_t layer) const
     {
         std::vector<std::uint32_t> left(m_shape.ranks);
         for (std::uint32_t r = 0; r < m_shape.ranks; ++r) {
-            auto ofLayer = m_options.newPerRankAndLayer - std::min(m_takenByLayer[layer][r], m_options.newPerRankAndLayer);
-            auto ofRank = m_options.newPerRank - std::min(m_takenByRank[r], m_options.newPerRank);
-            left[r] = std::min(ofLayer, ofRank);
+            auto leftInLayer = m_options.maxCopiesPerRankAndLayer - std::min(m_copiesByLayer[layer][r], m_options.maxCopiesPerRankAndLayer);
+            auto leftOnRank = m_options.maxCopiesPerRank - std::min(m_copiesByRank[r], m_options.maxCopiesPerRank);
+            left[r] = std::min(leftInLayer, leftOnRank);
         }
         return left;
     }
 
-    void take(std::uint32_t layer, std::uint32_t slot)
+    void countCopy(std::uint32_t layer, std::uint32_t slot)
     {
         auto rank = m_layers[layer].rankOf(slot);
-        ++m_takenByRank[rank];
-        ++m_takenByLayer[layer][rank];
+        ++m_copiesByRank[rank];
+        ++m_copiesByLayer[layer][rank];
     }
 
     const MapShape& m_shape;
     const ReplicaPlanner::Options& m_options;
     std::vector<ReplicaLayer> m_layers;
     std::vector<bool> m_isDone;
-    std::vector<std::uint32_t> m_takenByRank;
-    std::vector<std::vector<std::uint32_t>> m_takenByLayer;
+    std::vector<std::uint32_t> m_copiesByRank;
+    std::vector<std::vector<std::uint32_t>> m_copiesByLayer;
 };
 
 /// The experts that ranks hold in `to` and not in `from`.
@@ -226,7 +226,7 @@
 }
 
 /// Copies of the rank that takes in the most experts.
-std::uint32_t mostCopiesOfARank(const std::vector<ExpertMove>& moves, std::uint32_t ranks)
+std::uint32_t maxCopiesOfRank(const std::vector<ExpertMove>& moves, std::uint32_t ranks)
 {
     std::vector<std::uint32_t> copies(ranks);
     for (auto& move : moves)
@@ -246,22 +246,22 @@
     std::vector<ReplicaLayer> layers;
     for (std::uint32_t n = 0; n < m_shape.layers; ++n)
         layers.emplace_back(m_shape, current.layer(LayerIndex(n)), layerTokens(n), m_paces);
-    Search search(m_shape, m_options, std::move(layers));
+    MapSearch search(m_shape, m_options, std::move(layers));
     double before = search.stepTime();
     Plan plan;
-    plan.reason = PlanReason::NotKnown;
+    plan.reason = PlanReason::NotEnoughData;
     plan.imbalance = before / m_shape.layers;
-    if (!isKnown())
+    if (!hasEnoughTokens())
         return plan;
     search.run();
     plan.plannedImbalance = search.stepTime() / m_shape.layers;
     auto map = ExpertMap::create(m_shape, search.slots()).value();
     auto moves = movesBetween(current, map);
-    double savedOfLoad = (before - search.stepTime()) / before;
-    plan.gain = savedOfLoad * loadShare;
+    double loadTimeSaved = (before - search.stepTime()) / before;
+    plan.gain = loadTimeSaved * loadShare;
     plan.reason = PlanReason::NoGain;
-    bool isWorth = !moves.empty() && plan.gain >= m_options.minGain && savedOfLoad >= m_options.minGainPerCopy * mostCopiesOfARank(moves, m_shape.ranks);
-    if (!isWorth)
+    bool isWorthwhile = !moves.empty() && plan.gain >= m_options.minGain && loadTimeSaved >= m_options.minGainPerCopy * maxCopiesOfRank(moves, m_shape.ranks);
+    if (!isWorthwhile)
         return plan;
     plan.reason = PlanReason::Moved;
     plan.moves = std::move(moves);
--- a/src/expertmap/straggler.cc
+++ b/src/expertmap/straggler.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-bool isBad(double value)
+bool isInvalid(double value)
 {
     return !std::isfinite(value) || value < 0;
 }
@@ -39,7 +39,7 @@
 {
     if (busyTimes.size() != m_ranks.size() || tokens.size() != m_ranks.size())
         return Error { ErrorCode::InvalidArgument, "one time and one token count a rank are needed" };
-    if (std::any_of(busyTimes.begin(), busyTimes.end(), isBad) || std::any_of(tokens.begin(), tokens.end(), isBad))
+    if (std::any_of(busyTimes.begin(), busyTimes.end(), isInvalid) || std::any_of(tokens.begin(), tokens.end(), isInvalid))
         return Error { ErrorCode::InvalidArgument, "a time or token count is negative or not a number" };
     std::vector<double> perToken;
     for (std::size_t r = 0; r < m_ranks.size(); ++r) {
--- a/test/expertmap-planner_test.cc
+++ b/test/expertmap-planner_test.cc
@@ -23,20 +23,20 @@
     return TimePoint(std::chrono::minutes(n));
 }
 
-Trace recorded(TraceKind kind)
+Trace readRecordedTrace(TraceKind kind)
 {
     auto path = std::string(SWIFTLOFT_SOURCE_DIR "/bench/traces/") + toString(kind) + "-4x16.trace";
     std::ifstream in(path);
     INFO(path);
-    auto trace = read(in);
+    auto trace = readTrace(in);
     REQUIRE(trace.has_value());
     return *trace;
 }
 
-std::map<std::string, Figures> replayAll(const Trace& trace)
+std::map<std::string, ReplayResult> replayAll(const Trace& trace)
 {
     auto initial = ExpertMap::even(trace.shape).value();
-    std::map<std::string, Figures> runs;
+    std::map<std::string, ReplayResult> runs;
     for (auto& policy : allPolicies(initial))
         runs.emplace(policy.name, replay::replay(trace, initial, policy, {}));
     return runs;
@@ -51,7 +51,7 @@
     return loads;
 }
 
-Planner plannerThatKnows(const Planner::Options& options, const std::vector<double>& loads)
+Planner plannerWithReports(const Planner::Options& options, const std::vector<double>& loads)
 {
     auto planner = Planner::create(options, ExpertMap::even(smallShape).value()).value();
     for (int n = 1; n <= 12; ++n)
@@ -70,25 +70,25 @@
 TEST_CASE("ExpertMap refuses a map that can't run")
 {
     MapShape shape { 2, 1, 2, 2 };
-    auto make = [&](const std::vector<std::uint32_t>& experts) {
+    auto createMap = [&](const std::vector<std::uint32_t>& experts) {
         std::vector<ExpertIndex> slots;
         slots.reserve(experts.size());
         for (auto it : experts)
             slots.emplace_back(it);
         return ExpertMap::create(shape, slots);
     };
-    CHECK(make({ 0, 1, 1, 0 }).has_value());
-    CHECK(make({ 0, noExpert.value(), 1, noExpert.value() }).has_value());
-    CHECK(make({ 0, 0, 1, 1 }).error().message == "layer 0 has expert 0 twice on rank 0");
-    CHECK(make({ 0, noExpert.value(), noExpert.value(), noExpert.value() }).error().message == "layer 0 has no slot for expert 1");
-    CHECK(make({ 0, 1, 2, 0 }).error().message == "layer 0 names expert 2 of 2");
-    CHECK_FALSE(make({ 0, 1 }).has_value());
-    CHECK(make({ 0, 1, 1, 0 }).value().version() != make({ 1, 0, 0, 1 }).value().version());
+    CHECK(createMap({ 0, 1, 1, 0 }).has_value());
+    CHECK(createMap({ 0, noExpert.value(), 1, noExpert.value() }).has_value());
+    CHECK(createMap({ 0, 0, 1, 1 }).error().message == "layer 0 has expert 0 twice on rank 0");
+    CHECK(createMap({ 0, noExpert.value(), noExpert.value(), noExpert.value() }).error().message == "layer 0 has no slot for expert 1");
+    CHECK(createMap({ 0, 1, 2, 0 }).error().message == "layer 0 names expert 2 of 2");
+    CHECK_FALSE(createMap({ 0, 1 }).has_value());
+    CHECK(createMap({ 0, 1, 1, 0 }).value().version() != createMap({ 1, 0, 0, 1 }).value().version());
 }
 
 TEST_CASE("Planner gives a hot expert replicas and predicts the gain")
 {
-    auto planner = plannerThatKnows(viaHeOptions(), withHotExpert(smallShape, 12));
+    auto planner = plannerWithReports(viaHeOptions(), withHotExpert(smallShape, 12));
     auto before = replicasOf(planner.current(), 0);
     auto plan = planner.plan(minute(61), 600);
     REQUIRE(plan.reason == PlanReason::Moved);
@@ -102,7 +102,7 @@
 {
     auto options = viaHeOptions();
     options.quietHours = { { 1380, 60 } };
-    auto planner = plannerThatKnows(options, withHotExpert(smallShape, 12));
+    auto planner = plannerWithReports(options, withHotExpert(smallShape, 12));
     CHECK(planner.plan(minute(61), 1400).reason == PlanReason::InQuietHours);
     CHECK(planner.plan(minute(62), 30).reason == PlanReason::InQuietHours);
     CHECK(planner.plan(minute(63), 60).reason == PlanReason::Moved);
@@ -113,13 +113,13 @@
     auto options = viaHeOptions();
     options.bytesPerMinute = Bytes(options.bytesPerExpert.value() / 10);
     options.burst = std::chrono::minutes(20);
-    auto planner = plannerThatKnows(options, withHotExpert(smallShape, 12));
+    auto planner = plannerWithReports(options, withHotExpert(smallShape, 12));
     auto plan = planner.plan(minute(61), 600);
     CHECK(plan.moves.size() <= 2);
     CHECK(planner.plan(minute(62), 600).reason == PlanReason::OverByteCap);
     CHECK(planner.plan(minute(75), 600).moves.size() <= 1);
     options.bytesPerMinute = Bytes(0);
-    CHECK(plannerThatKnows(options, withHotExpert(smallShape, 12)).plan(minute(61), 600).reason == PlanReason::OverByteCap);
+    CHECK(plannerWithReports(options, withHotExpert(smallShape, 12)).plan(minute(61), 600).reason == PlanReason::OverByteCap);
 }
 
 TEST_CASE("Planner refuses options and reports that can't be right")
@@ -134,7 +134,7 @@
     auto planner = Planner::create({}, map).value();
     CHECK(planner.observe(minute(1), std::vector<double>(3, 1.0)).has_value());
     CHECK(planner.observe(minute(1), std::vector<double>(32, -1.0)).has_value());
-    CHECK(planner.plan(minute(1), 0).reason == PlanReason::NotKnown);
+    CHECK(planner.plan(minute(1), 0).reason == PlanReason::NotEnoughData);
     CHECK(planner.setSpeeds({ 1, 1, 0, 1 }).has_value());
 }
 
@@ -155,7 +155,7 @@
     detector.observe(std::vector<double> { 4000, 1000, 1000, 1000 }, tokens);
     CHECK_FALSE(detector.isStraggler(RankIndex(2)));
 
-    auto trace = generate(TraceKind::Noise, smallShape, 60, 3);
+    auto trace = generateTrace(TraceKind::Noise, smallShape, 60, 3);
     trace.speedChanges.push_back({ 0, 2, 0.6 });
     auto initial = ExpertMap::even(smallShape).value();
     auto blind = replay::replay(trace, initial, staticPolicy(initial), {});
@@ -178,7 +178,7 @@
 {
     for (auto kind : { TraceKind::HanoiDay, TraceKind::GujaratDay, TraceKind::Flip, TraceKind::Oscillation, TraceKind::SlowRanks }) {
         CAPTURE(toString(kind));
-        auto runs = replayAll(recorded(kind));
+        auto runs = replayAll(readRecordedTrace(kind));
         CHECK(runs["via-he"].skewP99 <= 1.05 * runs["repack"].skewP99);
         CHECK(runs["via-he"].expertsMoved * 10 <= runs["repack"].expertsMoved);
         CHECK(runs["via-he"].expertsMoved * 10 <= runs["repack-r"].expertsMoved);
@@ -189,7 +189,7 @@
 {
     for (auto kind : { TraceKind::HanoiDay, TraceKind::GujaratDay, TraceKind::Flip }) {
         CAPTURE(toString(kind));
-        auto runs = replayAll(recorded(kind));
+        auto runs = replayAll(readRecordedTrace(kind));
         CHECK(runs["rasoi"].skewP99 <= (runs["static"].skewP99 + runs["repack"].skewP99) / 2);
         CHECK(runs["rasoi"].expertsMoved * 50 <= runs["repack"].expertsMoved);
         CHECK(runs["rasoi"].movedInQuietHours == 0);
@@ -199,9 +199,9 @@
 TEST_CASE("Opposite weights: Rasoi Rahdari moves less than half as much, Vỉa Hè has less skew")
 {
     // Groups of few experts gain so much from each move that both weights take the same ones; 16 ranks tell them apart.
-    std::map<std::string, Figures> sums;
+    std::map<std::string, ReplayResult> sums;
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-        for (auto& [name, run] : replayAll(generate(TraceKind::HanoiDay, { 16, 2, 16, 2 }, 288, seed))) {
+        for (auto& [name, run] : replayAll(generateTrace(TraceKind::HanoiDay, { 16, 2, 16, 2 }, 288, seed))) {
             sums[name].expertsMoved += run.expertsMoved;
             sums[name].skewP50 += run.skewP50;
             sums[name].skewP99 += run.skewP99;
@@ -216,7 +216,7 @@
 {
     // An operator sees weights loaded all day though demand is even. Each report differs by chance, and a policy that
     // takes chance for demand moves experts to and fro.
-    auto runs = replayAll(recorded(TraceKind::Noise));
+    auto runs = replayAll(readRecordedTrace(TraceKind::Noise));
     CHECK(runs["via-he"].expertsMoved == 0);
     CHECK(runs["rasoi"].expertsMoved == 0);
 }
@@ -224,12 +224,12 @@
 TEST_CASE("Traces: the committed files are what the generator makes, and bad text is refused by line")
 {
     for (auto kind : traceKinds) {
-        auto trace = recorded(kind);
-        auto fresh = generate(kind, trace.shape, trace.intervals(), trace.seed);
+        auto trace = readRecordedTrace(kind);
+        auto fresh = generateTrace(kind, trace.shape, trace.intervals(), trace.seed);
         CHECK(fresh.loads == trace.loads);
     }
     std::istringstream bad("swiftloft-trace 1\nranks 4\nlayers 1\nexperts 2\nload 0 0 5 -1\n");
-    CHECK(read(bad).error().message == "line 5: a load is missing or negative");
-    std::istringstream early("swiftloft-trace 1\nranks 4\n");
-    CHECK(read(early).error().code == ErrorCode::MalformedInput);
+    CHECK(readTrace(bad).error().message == "line 5: a load is missing or negative");
+    std::istringstream truncated("swiftloft-trace 1\nranks 4\n");
+    CHECK(readTrace(truncated).error().code == ErrorCode::MalformedInput);
 }
--- a/test/replica-layer_test.cc
+++ b/test/replica-layer_test.cc
@@ -28,15 +28,15 @@
     return std::accumulate(loads.begin(), loads.end(), 0.0, [&](double sum, double load) { return sum + std::pow(load / mean, 12); });
 }
 
-std::vector<ExpertIndex> with(std::vector<ExpertIndex> slots, const ReplicaChange& change)
+std::vector<ExpertIndex> withChange(std::vector<ExpertIndex> slots, const ReplicaChange& change)
 {
-    if (change.backSlot)
-        slots[*change.backSlot] = slots[change.slot];
+    if (change.swapSlot)
+        slots[*change.swapSlot] = slots[change.slot];
     slots[change.slot] = ExpertIndex(change.expert);
     return slots;
 }
 
-bool isMap(const MapShape& shape, const std::vector<ExpertIndex>& slots)
+bool isValidMap(const MapShape& shape, const std::vector<ExpertIndex>& slots)
 {
     return static_cast<bool>(ExpertMap::create({ shape.ranks, 1, shape.experts, shape.slotsPerRank }, slots));
 }
@@ -54,26 +54,26 @@
         std::generate(tokens.begin(), tokens.end(), [&] { return std::exp(std::uniform_real_distribution<double>(0, 5)(random)); });
         auto map = ExpertMap::inTurn(shape).value();
         ReplicaLayer layer(shape, map.layer(LayerIndex(0)), tokens, std::vector<double>(shape.ranks, 1.0));
-        std::vector<std::uint32_t> mayTake(shape.ranks, 8);
+        std::vector<std::uint32_t> copyBudgets(shape.ranks, 8);
         for (int changes = 0; changes < 10; ++changes) {
             std::vector<ExpertIndex> slots(layer.slots().begin(), layer.slots().end());
             auto before = costOf(shape, slots, tokens);
-            auto found = layer.best(mayTake);
+            auto found = layer.findBestChange(copyBudgets);
             double bestGain = 0;
-            auto hot = layer.hottestRank();
+            auto hot = layer.slowestRank();
             // All that take tokens off the most loaded rank: its experts anywhere else, in addition or in exchange.
             for (std::uint32_t slot = 0; slot < slots.size(); ++slot) {
                 for (auto back = hot * shape.slotsPerRank; back < (hot + 1) * shape.slotsPerRank; ++back) {
                     if (slots[back] == noExpert || layer.rankOf(slot) == hot)
                         continue;
                     auto expert = slots[back].value();
-                    auto replica = with(slots, { slot, expert, std::nullopt });
-                    if (isMap(shape, replica))
+                    auto replica = withChange(slots, { slot, expert, std::nullopt });
+                    if (isValidMap(shape, replica))
                         bestGain = std::max(bestGain, before - costOf(shape, replica, tokens));
                     if (slots[slot] == noExpert)
                         continue;
-                    auto swapped = with(slots, { slot, expert, back });
-                    if (isMap(shape, swapped))
+                    auto swapped = withChange(slots, { slot, expert, back });
+                    if (isValidMap(shape, swapped))
                         bestGain = std::max(bestGain, (before - costOf(shape, swapped, tokens)) / 2);
                 }
             }
@@ -82,10 +82,10 @@
                 CHECK(bestGain <= before * 1e-6);
                 break;
             }
-            auto gain = (before - costOf(shape, with(slots, *found), tokens)) / found->copies();
+            auto gain = (before - costOf(shape, withChange(slots, *found), tokens)) / found->copies();
             INFO("seed " << seed << ", change " << changes << ": found " << gain << ", best " << bestGain);
             CHECK(gain >= bestGain * (1 - 1e-9));
-            layer.make(*found);
+            layer.apply(*found);
         }
     }
 }
--- a/test/replica-planner_test.cc
+++ b/test/replica-planner_test.cc
@@ -15,7 +15,7 @@
 const TimePoint start { seconds(100) };
 const MapShape shape { 12, 3, 96, 11 };
 
-ExpertMap inTurn()
+ExpertMap roundRobinMap()
 {
     return ExpertMap::inTurn(shape).value();
 }
@@ -48,7 +48,7 @@
 {
     for (unsigned seed = 1; seed <= 10; ++seed) {
         auto planner = plannerFor(seed);
-        auto current = inTurn();
+        auto current = roundRobinMap();
         double before = planner.imbalance(current);
         for (int changes = 0; changes < 3; ++changes) {
             auto plan = planner.plan(current);
@@ -64,10 +64,10 @@
 TEST_CASE("ReplicaPlanner: no rank takes in more than it may")
 {
     ReplicaPlanner::Options options;
-    options.newPerRankAndLayer = 2;
-    options.newPerRank = 3;
+    options.maxCopiesPerRankAndLayer = 2;
+    options.maxCopiesPerRank = 3;
     for (unsigned seed = 1; seed <= 20; ++seed) {
-        auto plan = plannerFor(seed, options).plan(inTurn());
+        auto plan = plannerFor(seed, options).plan(roundRobinMap());
         REQUIRE(plan.map.has_value());
         std::map<std::uint32_t, std::uint32_t> byRank;
         std::map<std::pair<std::uint32_t, std::uint32_t>, std::uint32_t> byRankAndLayer;
@@ -76,19 +76,19 @@
             ++byRankAndLayer[{ move.rank.value(), move.layer.value() }];
         }
         for (auto& [rank, n] : byRank)
-            CHECK(n <= options.newPerRank);
+            CHECK(n <= options.maxCopiesPerRank);
         for (auto& [key, n] : byRankAndLayer)
-            CHECK(n <= options.newPerRankAndLayer);
+            CHECK(n <= options.maxCopiesPerRankAndLayer);
     }
 }
 
 TEST_CASE("ReplicaPlanner: nothing is moved before enough is known, nor for little")
 {
     auto planner = ReplicaPlanner::create(shape, {}).value();
-    CHECK(planner.plan(inTurn()).reason == PlanReason::NotKnown);
+    CHECK(planner.plan(roundRobinMap()).reason == PlanReason::NotEnoughData);
     std::vector<double> even(static_cast<std::size_t>(shape.layers) * shape.experts, 1000);
     planner.observe(start, even);
-    CHECK(planner.plan(inTurn()).reason == PlanReason::NoGain);
+    CHECK(planner.plan(roundRobinMap()).reason == PlanReason::NoGain);
 }
 
 // Demand shifts at once. A planner that remembers the old demand for long plans for what is over.
@@ -99,7 +99,7 @@
     auto shifted = plannerFor(2, options);
     auto later = start + 8 * options.halfLife;
     planner.observe(later, demand(2));
-    auto map = planner.plan(inTurn()).map;
+    auto map = planner.plan(roundRobinMap()).map;
     REQUIRE(map.has_value());
     CHECK(shifted.imbalance(*map) < 1.4);
 }
@@ -111,7 +111,7 @@
     std::vector<double> negative(static_cast<std::size_t>(shape.layers) * shape.experts, -1);
     CHECK(planner.observe(start, negative).has_value());
     ReplicaPlanner::Options options;
-    options.newPerRank = 0;
+    options.maxCopiesPerRank = 0;
     CHECK_FALSE(ReplicaPlanner::create(shape, options).has_value());
 }
 
@@ -126,8 +126,8 @@
     CHECK_FALSE(planner.shiftedAt().has_value());
     planner.observe(now += milliseconds(50), demand(2));
     REQUIRE(planner.shiftedAt() == now);
-    auto map = planner.plan(inTurn()).map;
-    auto onlyNew = plannerFor(2).plan(inTurn()).map;
+    auto map = planner.plan(roundRobinMap()).map;
+    auto onlyNew = plannerFor(2).plan(roundRobinMap()).map;
     REQUIRE(map.has_value());
     REQUIRE(onlyNew.has_value());
     CHECK(std::equal(map->slots().begin(), map->slots().end(), onlyNew->slots().begin(), onlyNew->slots().end()));
@@ -186,8 +186,8 @@
     }
     ReplicaPlanner::Options options;
     options.minGain = 0.15;
-    options.newPerRank = 6;
-    options.newPerRankAndLayer = 2;
+    options.maxCopiesPerRank = 6;
+    options.maxCopiesPerRankAndLayer = 2;
     auto planner = ReplicaPlanner::create(large, options).value();
     CHECK_FALSE(planner.observe(start, tokens).has_value());
     auto map = ExpertMap::inTurn(large).value();
@@ -203,7 +203,7 @@
 {
     for (unsigned seed = 1; seed <= 5; ++seed) {
         auto planner = plannerFor(seed);
-        auto settle = [&](ExpertMap map) {
+        auto planRepeatedly = [&](ExpertMap map) {
             for (int changes = 0; changes < 6; ++changes) {
                 auto plan = planner.plan(map);
                 if (plan.map)
@@ -211,10 +211,10 @@
             }
             return map;
         };
-        auto even = settle(inTurn());
+        auto even = planRepeatedly(roundRobinMap());
         planner.setPace(RankIndex(4), 2);
         auto before = planner.imbalance(even);
-        auto after = planner.imbalance(settle(even));
+        auto after = planner.imbalance(planRepeatedly(even));
         INFO("seed " << seed << ": " << before << " with the map for equal ranks, " << after << " afterwards");
         CHECK(before > 1.8);
         CHECK(after < 1.25);
