--- a/include/swiftloft/expertmap/load-estimate.h
+++ b/include/swiftloft/expertmap/load-estimate.h
@@ -10,32 +10,36 @@
 
 namespace swiftloft::expertmap {
 
-/// What share of a layer's tokens each expert gets, from lagging and noisy reports.
+/// Estimates the share of a layer's tokens that each expert receives, from delayed and noisy reports.
 ///
-/// Two exponential averages are kept, a fast and a slow one; a plan must be good under both. Shares are scaled so that
-/// 1 is the mean over the experts of a layer, and are drawn towards 1 as far as their spread is no more than noise.
+/// Keeps two exponential moving averages, a fast and a slow one; a plan must be good under both. Shares are scaled so
+/// that the mean over the experts of a layer is 1, and are shrunk towards 1 as far as noise explains their spread.
 class LoadEstimate {
 public:
     struct Options {
         milliseconds fastHalfLife { 300'000 };
         milliseconds slowHalfLife { 2'400'000 };
-        /// Reports needed before the estimate counts as known.
+        /// Number of reports needed before the estimate may be used.
         std::uint32_t minReports { 4 };
     };
 
-    /// Fails with `InvalidArgument` when a half-life is not positive or the fast one is longer than the slow one.
+    /// Fails with `InvalidArgument` when a half-life is not positive or the fast half-life is longer than the slow
+    /// one.
     static Result<LoadEstimate> create(const MapShape& shape, const Options& options);
 
-    /// Takes tokens by layer and expert (`layers * experts` values) counted since the last report. Returns an error, and
-    /// changes nothing, when the count of values is wrong, one is negative or not finite, or `now` goes back.
+    /// Adds a report: tokens by layer and expert (`layers * experts` values) counted since the previous report.
+    /// Returns an error, and changes nothing, when the number of values is wrong, a value is negative or not finite
+    /// (`InvalidArgument`), or `now` is not later than the previous report (`Stale`).
     std::optional<Error> observe(TimePoint now, std::span<const double> tokens);
 
     bool hasEnoughReports() const { return m_reports >= m_options.minReports; }
+    /// Shares of the experts of a layer under the fast and under the slow average.
     std::span<const double> fast(LayerIndex layer) const;
     std::span<const double> slow(LayerIndex layer) const;
-    /// What to split tokens among replicas by: the fast average, or the slow one while the layer is volatile.
+    /// Shares by which to split tokens among replicas: the fast average, or the slow one while the layer is volatile.
     std::span<const double> splitShares(LayerIndex layer) const;
-    /// True while demand swings faster than the averages follow: only what holds under the slow average is worth a move.
+    /// True while demand changes faster than the averages follow. Only moves that gain under the slow average are
+    /// worthwhile then.
     bool isVolatile(LayerIndex layer) const;
 
 private:
@@ -44,7 +48,7 @@
         std::vector<double> slow;
         std::vector<double> fastShrunk;
         std::vector<double> slowShrunk;
-        /// Mean square of report minus fast average, averaged over time.
+        /// Mean square of the difference between reports and the fast average, averaged over time.
         double residual { 0 };
         TimePoint nextResetAt;
         milliseconds nextResetInterval { 0 };
--- a/include/swiftloft/expertmap/planner.h
+++ b/include/swiftloft/expertmap/planner.h
@@ -13,8 +13,8 @@
 class LayerSearch;
 }
 
-/// Minutes of the day, from 0 up to 1440, in which no expert is moved. One that begins later than it ends goes over
-/// midnight.
+/// Daily period in which no expert is moved, in minutes of the day from 0 up to 1440. A period that begins later than
+/// it ends spans midnight.
 struct QuietHours {
     std::uint32_t fromMinute { 0 };
     std::uint32_t toMinute { 0 };
@@ -22,21 +22,21 @@
     bool contains(std::uint32_t minuteOfDay) const;
 };
 
-/// Why a decision moved nothing, or that it did.
+/// Outcome of a planning decision: that experts are moved, or why none are.
 enum class PlanReason {
     Moved,
-    /// Too few reports yet.
+    /// Too few reports or tokens so far.
     NotEnoughData,
     InQuietHours,
-    /// The cap on bytes a minute leaves nothing for now.
+    /// The cap on bytes per minute leaves no budget at present.
     OverByteCap,
-    /// No move gains enough for its cost.
+    /// No move gains enough to justify its cost.
     NoGain,
 };
 
 const char* toString(PlanReason reason);
 
-/// One expert's weights loaded into a slot; what was there is dropped.
+/// Load of one expert's weights into a slot of a rank. The previous content of the slot is dropped.
 struct ExpertMove {
     LayerIndex layer;
     ExpertIndex expert;
@@ -45,57 +45,64 @@
 
 struct Plan {
     PlanReason reason { PlanReason::NoGain };
-    /// The map to change to; unset when nothing moves.
+    /// Map to change to; unset when no expert moves.
     std::optional<ExpertMap> map;
     std::vector<ExpertMove> moves;
     Bytes bytes;
-    /// Predicted part of the step time saved, 0 to 1.
+    /// Predicted fraction of the step time saved, 0 to 1.
     double gain { 0 };
-    /// By `ReplicaPlanner`: its `imbalance` of the map planned from, and of the best one found, wanted or not.
+    /// Set by `ReplicaPlanner`: its `imbalance` of the current map, and of the best map found, even if that map is
+    /// not worth a change.
     double imbalance { 0 };
     double plannedImbalance { 0 };
 };
 
-/// Decides which experts a rank group moves, and when that is worth it.
+/// Decides which experts of a rank group to move, and when a move is worth its cost.
 ///
-/// Local search from the current map: the expert that makes the slowest rank slow gets a replica in a spare slot of a
-/// fast rank, or changes places with a cooler one. Of all such moves the one with the best gain in predicted step time per
-/// byte is taken, as long as the gain over a horizon beats the cost of moving. Pure: the time comes with each call.
+/// Searches locally from the current map: the expert that makes the slowest rank slow gets a replica in a spare slot
+/// of a fast rank, or is swapped with a less loaded expert. Of all such moves, the planner takes the one with the
+/// best gain in predicted step time per byte, as long as the gain over a horizon exceeds the cost of moving. The
+/// planner reads no clock: the time is passed with each call.
 class Planner {
 public:
     struct Options {
-        /// How much a saved part of step time counts.
+        /// Weight of a saved fraction of the step time.
         double skewWeight { 1 };
-        /// How much a moved byte counts.
+        /// Weight of a moved byte.
         double rebalanceWeight { 1 };
         std::vector<QuietHours> quietHours;
-        /// Cap on bytes moved; unset for none, zero moves nothing. Unused budget builds up for `burst` at most.
+        /// Cap on bytes moved per minute; unset means no cap, zero means that nothing is moved. Unused budget
+        /// accumulates for at most `burst`.
         std::optional<Bytes> bytesPerMinute;
         milliseconds burst { 600'000 };
-        /// Size of the weights of one expert of one layer.
+        /// Size of the weights of one expert in one layer.
         Bytes bytesPerExpert { 44'000'000 };
-        /// Steps over which a gain is counted; about five minutes of 6 ms steps.
+        /// Number of steps over which a gain is counted; about five minutes at 6 ms per step.
         double horizonSteps { 50'000 };
-        /// What moving one expert in every layer costs at weight 1, in steps. Counted so, the weights mean the same for
-        /// models of few and of many layers: a layer's part of the step and its part of the cost shrink alike.
+        /// Cost, in steps, of moving one expert in every layer at weight 1. Counted this way, the weights mean the
+        /// same for models with few and with many layers: a layer's fraction of the step and its fraction of the cost
+        /// shrink alike.
         double moveCostSteps { 100 };
-        /// Least gain of a move, as a part of its layer's time. Below it lies what noise could feign.
+        /// Minimum gain of a move, as a fraction of its layer's time. Noise alone can produce smaller apparent gains.
         double minGain { 0.002 };
-        /// A slot that was filled keeps its expert at least this long.
+        /// Minimum time that a filled slot keeps its expert.
         milliseconds pinDuration { 600'000 };
-        /// Bound of predictions made in one decision, and so of its time.
+        /// Maximum number of predictions in one decision, which bounds the time that the decision takes.
         std::uint32_t maxPredictions { 6'000 };
         LoadEstimate::Options estimate;
     };
 
-    /// Fails with `InvalidArgument` when a weight is negative, quiet hours don't fit a day, or an estimate option is bad.
+    /// Fails with `InvalidArgument` when a weight or the minimum gain is negative, the horizon or the size of an
+    /// expert is not positive, quiet hours do not fit into a day, or an estimate option is invalid.
     static Result<Planner> create(const Options& options, const ExpertMap& current);
 
-    /// Takes a report of tokens by layer and expert; see `LoadEstimate::observe`.
+    /// Adds a report of tokens by layer and expert; see `LoadEstimate::observe`.
     std::optional<Error> observe(TimePoint now, std::span<const double> tokens) { return m_estimate.observe(now, tokens); }
-    /// Relative speed of each rank, 1 for normal, as `StragglerDetector` finds it. A slow rank is given fewer tokens.
+    /// Sets the relative speed of each rank, 1 for normal, as measured by `StragglerDetector`. A slow rank is
+    /// assigned fewer tokens.
     std::optional<Error> setSpeeds(std::vector<double> speeds);
-    /// Plans the next map. The planner takes the plan as made: call `setCurrent` if the change was given up.
+    /// Plans the next map. The planner assumes that the plan is carried out: call `setCurrent` if the change is
+    /// abandoned.
     Plan plan(TimePoint now, std::uint32_t minuteOfDay);
     void setCurrent(const ExpertMap& map);
 
@@ -117,9 +124,9 @@
     ExpertMap m_current;
     LoadEstimate m_estimate;
     std::vector<double> m_speeds;
-    /// By layer and slot: until when the slot keeps its expert.
+    /// Time until which each slot keeps its expert, by layer and slot.
     std::vector<TimePoint> m_pinnedUntil;
-    /// Time at which all bytes moved so far are paid for at the capped rate.
+    /// Time at which the capped rate has paid for all bytes moved so far.
     TimePoint m_budgetRestoredAt;
 };
 
--- a/include/swiftloft/expertmap/replica-planner.h
+++ b/include/swiftloft/expertmap/replica-planner.h
@@ -12,58 +12,66 @@
 
 namespace swiftloft::expertmap {
 
-/// Plans maps for engines that split an expert's tokens evenly among its replicas, where demand shifts within seconds.
+/// Plans maps for engines that split an expert's tokens evenly among its replicas, where demand shifts within
+/// seconds.
 ///
-/// `Planner` is for demand that drifts over minutes and for engines that split tokens as told. This one reacts to one
-/// shift at a time: it keeps a short memory that ends where demand shifts, and takes from the rank with the most tokens
-/// what gains most for one copy, by a replica in a spare slot, a replica in the place of one that is no longer needed, or
-/// a swap. Pure: the time comes with each call.
+/// `Planner` is for demand that drifts over minutes and for engines that split tokens as instructed. This planner
+/// reacts to one shift at a time. It keeps a short history of demand, which it discards when demand shifts. It
+/// relieves the slowest rank by the change that gains most per copy: a replica in a spare slot, a replica in place of
+/// one that is no longer needed, or a swap. The planner reads no clock: the time is passed with each call.
 class ReplicaPlanner {
 public:
     struct Options {
-        /// Memory of the token counts. Long against the time between reports, short against the time between shifts.
+        /// Half-life of the token counts in the history. Must be long compared with the time between reports, and
+        /// short compared with the time between shifts.
         milliseconds halfLife { 500 };
-        /// Tokens a layer must have seen within the memory before anything is planned, and within a report before it is
-        /// compared with the memory.
+        /// Minimum number of tokens in the history of a layer before anything is planned, and in a report before it
+        /// is compared with the history.
         double minTokens { 2000 };
-        /// A report that is so many times as unlike the memory as reports usually are tells of a shift. Unlikeness is 1
-        /// less the cosine of the two demands, averaged over the layers.
+        /// A report indicates a shift when its dissimilarity to the history exceeds this multiple of the usual
+        /// dissimilarity of reports. Dissimilarity is 1 minus the cosine similarity of two demands, averaged over the
+        /// layers.
         double shiftThreshold { 3 };
-        /// What passes for usual before reports have shown it; never less than a third of it.
+        /// Initial value of the usual dissimilarity, before reports have shown it. The usual dissimilarity is never
+        /// assumed to be less than a third of this value.
         double baselineDissimilarity { 0.03 };
-        /// Most experts of one layer that a rank takes in with one change.
+        /// Maximum number of experts of one layer that a rank copies in one change.
         std::uint32_t maxCopiesPerRankAndLayer { 4 };
-        /// Most experts that a rank takes in with one change, over all layers: copying time, as ranks copy side by side.
+        /// Maximum number of experts that a rank copies in one change, over all layers. This bounds the copying time,
+        /// because ranks copy in parallel.
         std::uint32_t maxCopiesPerRank { 4 };
-        /// A layer whose most loaded rank has at most so many times the mean is left alone.
+        /// A layer is left unchanged when its slowest rank takes at most this multiple of the mean.
         double balancedPeakRatio { 1.08 };
-        /// Least part of the step time that a change must save for each copy of the rank with the most: ranks copy side by
-        /// side, so that one decides how long the change takes. Charged for the copies of all ranks together, no change of a
-        /// large group could pay off, whatever it gained.
+        /// Minimum fraction of the step time that a change must save per copy of the rank that copies most. Ranks
+        /// copy in parallel, so that rank determines how long the change takes. If a change were charged for the
+        /// copies of all ranks together, no change of a large group could pay off, whatever it gained.
         double minGainPerCopy { 0.024 };
-        /// Least part of the step time that a change must save in all.
+        /// Minimum fraction of the step time that a change must save in total.
         double minGain { 0.04 };
     };
 
-    /// Fails with `InvalidArgument` when a bound or time is not positive.
+    /// Fails with `InvalidArgument` when the half-life or a limit on copies is not positive.
     static Result<ReplicaPlanner> create(const MapShape& shape, const Options& options);
 
-    /// Takes tokens by layer and expert counted since the last report.
+    /// Adds a report of tokens by layer and expert counted since the previous report. Returns an error, and changes
+    /// nothing, when the number of values is wrong or a value is negative or not finite.
     std::optional<Error> observe(TimePoint now, std::span<const double> tokens);
-    /// How much longer a token takes at a rank than usual; 1 until it is told. One slow engine paces all of its group: the
-    /// planner gives it the experts that are least in demand. Values below 1 and no numbers count as 1.
+    /// Sets how many times as long as usual a token takes on a rank; the initial value is 1. One slow engine slows
+    /// down its whole group, so the planner gives it the experts with the least demand. Values that are below 1 or
+    /// not finite count as 1.
     void setPace(RankIndex rank, double pace);
-    /// The next map, from `current`. No map when nothing is worth a change. `loadShare` is the part of a step that depends on
-    /// the tokens, 0 to 1: a group with little work has steps that no map makes shorter.
+    /// Plans the next map from `current`. The plan has no map when no change is worthwhile. `loadShare` is the
+    /// fraction of a step that depends on the tokens, 0 to 1: no map shortens the steps of a group with little work.
     Plan plan(const ExpertMap& current, double loadShare = 1) const;
-    /// How much longer a token takes at the slowest rank than usual.
+    /// Returns how many times as long as usual a token takes on the slowest rank.
     double slowestPace() const;
-    /// Time of the slowest rank over that of even ranks at the usual pace, averaged over the layers; 1 is even. 0 while
-    /// nothing is known.
+    /// Returns the time of the slowest rank relative to that of evenly loaded ranks at the usual pace, averaged over
+    /// the layers; 1 is balanced. Returns 0 while no tokens are known.
     double imbalance(const ExpertMap& map) const;
     bool hasEnoughTokens() const;
-    /// When a report last told of a shift. Around a shift reports hold tokens of both demands, so the first one after it
-    /// is no good ground for a plan; a second one like it is. Unset before the first shift.
+    /// Returns the time of the last report that indicated a shift; unset before the first shift. Reports around a
+    /// shift contain tokens of both demands, so the first report after a shift is not a reliable basis for a plan; a
+    /// second one similar to it is.
     std::optional<TimePoint> shiftedAt() const { return m_shiftedAt; }
 
 private:
@@ -74,14 +82,14 @@
 
     MapShape m_shape;
     Options m_options;
-    /// Decayed token counts by layer and expert.
+    /// Token counts by layer and expert, decayed over time.
     std::vector<double> m_decayedTokens;
     std::vector<double> m_paces;
     TimePoint m_observedAt;
-    /// Tokens reported since the last comparison with the memory.
+    /// Tokens reported since the last comparison with the history.
     std::vector<double> m_recentTokens;
     std::optional<TimePoint> m_shiftedAt;
-    /// Mean unlikeness of the reports that told of no shift.
+    /// Mean dissimilarity of the reports that did not indicate a shift.
     double m_baselineDissimilarity { 0 };
 };
 
--- a/include/swiftloft/expertmap/straggler.h
+++ b/include/swiftloft/expertmap/straggler.h
@@ -10,31 +10,36 @@
 
 namespace swiftloft::expertmap {
 
-/// Tells slow hardware from a hot expert: a rank that takes longer than the others for the same number of tokens.
+/// Distinguishes slow hardware from a hot expert: detects ranks that take longer than the others for the same number
+/// of tokens.
 ///
-/// Plain threshold with persistence: the time a token takes, over the median of the ranks, above a bound for some
-/// observations in a row. docs/design/expert-maps.md compares it with a Pareto-tail expectation.
+/// Uses a threshold with persistence: a rank is a straggler when its time per token, relative to the median of the
+/// ranks, stays above a bound for several consecutive observations. docs/design/expert-maps.md compares this method
+/// with a Pareto-tail expectation.
 class StragglerDetector {
 public:
     struct Options {
-        /// A rank is suspect above this multiple of the median time a token takes.
+        /// A rank is suspect when its time per token is above this multiple of the median.
         double factor { 1.12 };
-        /// Observations in a row above the bound that make it a straggler, and below it that clear it.
+        /// Number of consecutive observations above the bound that mark a rank as a straggler, and below it that
+        /// clear the mark.
         std::uint32_t persistence { 3 };
-        /// Weight of a new observation in the speed that is reported.
+        /// Weight of a new observation in the reported speed.
         double speedWeight { 0.3 };
     };
 
-    /// Fails with `InvalidArgument` when there are no ranks, the factor is not above 1 or the weight not within (0, 1].
+    /// Fails with `InvalidArgument` when there are no ranks, the factor is not above 1, the persistence is 0 or the
+    /// weight is not within (0, 1].
     static Result<StragglerDetector> create(std::uint32_t ranks, const Options& options);
 
-    /// Takes the busy time and the tokens of each rank over one report interval. Ranks without tokens are passed over.
-    /// Returns an error, and changes nothing, when a count is wrong or a value is negative or not finite.
+    /// Adds the busy time and the tokens of each rank over one report interval. Ranks without tokens are skipped.
+    /// Returns an error, and changes nothing, when the number of values is wrong or a value is negative or not
+    /// finite.
     std::optional<Error> observe(std::span<const double> busyTimes, std::span<const double> tokens);
 
     bool isStraggler(RankIndex rank) const { return m_ranks[rank.value()].isStraggler; }
     std::vector<RankIndex> stragglers() const;
-    /// For `Planner::setSpeeds`: the smoothed speed of stragglers, 1 for all others.
+    /// Returns the speeds for `Planner::setSpeeds`: the smoothed speed of stragglers, 1 for all others.
     std::vector<double> speeds() const;
 
 private:
--- a/src/expertmap/layer-model.cc
+++ b/src/expertmap/layer-model.cc
@@ -11,7 +11,7 @@
 constexpr std::uint32_t emptySlot = noExpert.value();
 constexpr int initialSweeps = 4;
 constexpr int sweepsAfterChange = 2;
-/// The norm is the root of this order, a power of two.
+/// Order of the norm, a power of two.
 constexpr int normOrder = 32;
 
 double toNormOrder(double value)
@@ -70,7 +70,8 @@
         m_slotsOfExpert[expert].push_back(slot);
 }
 
-/// Splits the tokens of `expert` anew over its replicas: all that take some finish at one level.
+/// Splits the tokens of `expert` among its replicas again by water-filling: all replicas that receive tokens finish
+/// at the same time.
 void LayerModel::waterFill(std::uint32_t expert)
 {
     auto& slots = m_slotsOfExpert[expert];
--- a/src/expertmap/layer-model.h
+++ b/src/expertmap/layer-model.h
@@ -6,11 +6,12 @@
 #include <span>
 #include <vector>
 
-/// Predicted time of one layer under a placement: tokens of an expert are split among its replicas so that the ranks that
-/// hold it finish as evenly as they can. All times are in tokens at speed 1.
+/// Predicts the time of one layer under a placement. The tokens of an expert are split among its replicas so that the
+/// ranks that hold it finish as evenly as possible. All times are in tokens at speed 1.
 namespace swiftloft::expertmap::internal {
 
-/// Put `expert` into `slot` (which drops what is there). With `backSlot` set it is a swap: what was in `slot` goes there.
+/// Puts `expert` into `slot` and drops the content of the slot. If `swapSlot` is set, the content moves there
+/// instead: a swap.
 struct PlacementChange {
     std::uint32_t slot { 0 };
     std::uint32_t expert { 0 };
@@ -23,15 +24,15 @@
 
 class LayerModel {
 public:
-    /// `loads` are tokens by expert, `speeds` by rank (1 is normal).
+    /// `loads` holds the tokens by expert, `speeds` the speed by rank (1 is normal).
     LayerModel(const MapShape& shape, std::span<const ExpertIndex> slots, std::span<const double> loads, std::span<const double> speeds);
 
     double rankTime(std::uint32_t rank) const { return m_rankLoads[rank] / m_speeds[rank]; }
     double maxTime() const;
     /// Time at which all ranks would finish together: total tokens over total speed.
     double meanTime() const { return m_meanTime; }
-    /// A smooth stand-in for the greatest rank time over the mean, which also improves when one of several equally slow
-    /// ranks does: the 32-norm over the ranks.
+    /// Smooth approximation of the greatest rank time over the mean: the 32-norm over the ranks. Unlike the maximum,
+    /// it also improves when one of several equally slow ranks does.
     double norm() const { return m_norm; }
 
     double shareOf(std::uint32_t slot) const { return m_shares[slot]; }
@@ -40,7 +41,7 @@
     bool holds(std::uint32_t rank, std::uint32_t expert) const;
     std::span<const double> shares() const { return m_shares; }
 
-    /// The norm if `change` were made; the model stays as it is.
+    /// Returns the norm that the model would have after `change`. The model itself is left unchanged.
     double normAfter(const PlacementChange& change);
     void apply(const PlacementChange& change);
 
@@ -65,8 +66,8 @@
     double m_norm { 0 };
 };
 
-/// The least time any placement could give: the mean, or the hottest expert spread over `maxReplicas` ranks. With one
-/// layer's loads; `totalSpeed` is the sum over all ranks.
+/// Returns a lower bound of the time of any placement: the mean, or the time of the hottest expert spread over
+/// `maxReplicas` ranks. `loads` holds the loads of one layer; `totalSpeed` is the sum over all ranks.
 double lowerBound(std::span<const double> loads, double totalSpeed, std::uint32_t maxReplicas);
 
 } // namespace swiftloft::expertmap::internal
--- a/src/expertmap/layer-search.cc
+++ b/src/expertmap/layer-search.cc
@@ -7,11 +7,12 @@
 
 namespace {
 
-/// Bounds of the search from one placement: the slowest ranks, the experts that weigh most on them, the fastest ranks.
+/// Bounds of the search from one placement: the number of slowest ranks, of the experts that contribute most to their
+/// load, and of fastest ranks.
 constexpr std::size_t hotRanks = 2;
 constexpr std::size_t hotSlots = 3;
 constexpr std::size_t coldRanks = 6;
-/// Candidates, best first, whose gain is checked under the slow estimate.
+/// Number of best candidates whose gain is checked under the slow estimate.
 constexpr std::size_t checkedCandidates = 4;
 
 } // namespace
--- a/src/expertmap/layer-search.h
+++ b/src/expertmap/layer-search.h
@@ -15,24 +15,24 @@
 };
 
 struct SearchStep {
-    /// Predicted time saved, in parts of the layer's mean time.
+    /// Predicted time saved, as a fraction of the layer's mean time.
     double gain { 0 };
     std::vector<FilledSlot> filled;
 };
 
-/// Local search over the placement of one layer. A change counts by its gains under the fast and the slow estimate, the
-/// latter with the weight `caution`.
+/// Local search over the placement of one layer. The gain of a change is the weighted mean of its gains under the
+/// fast and the slow estimate, where the slow one has the weight `slowWeight`.
 class LayerSearch {
 public:
     LayerSearch(const MapShape& shape, std::span<const ExpertIndex> slots, std::span<const double> fast, std::span<const double> slow,
         std::span<const double> speeds, std::span<const TimePoint> pinnedUntil, TimePoint now, double slowWeight);
 
-    /// Predicted time of the layer over its mean time.
+    /// Predicted time of the layer relative to its mean time.
     double relativeTime() const { return m_fast.norm(); }
-    /// How far the layer lies above the mean: no change gains more.
+    /// Predicted time of the layer above its mean time, relative to the mean. No change gains more.
     double excess() const;
-    /// Makes the change with the best gain per expert moved, if that gain is `leastGain` an expert or more and it moves
-    /// no more than `allowed`. Counts predictions into `predictions`.
+    /// Applies the change with the best gain per moved expert, if that gain is at least `minGain` and the change
+    /// moves at most `budget` experts. Adds the number of predictions made to `predictions`.
     std::optional<SearchStep> improve(double minGain, std::uint64_t budget, std::uint32_t& predictions);
 
 private:
--- a/src/expertmap/load-estimate.cc
+++ b/src/expertmap/load-estimate.cc
@@ -10,17 +10,19 @@
 
 namespace {
 
-/// A report this far from the slow average, as a part of the spread of both, shares little with it: 1 is no relation at
-/// all, and the steepest of ordinary mornings stays below a third.
+/// Minimum distance between a report and the slow average that counts as a shift of demand, as a fraction of the sum
+/// of their spreads. 1 means that the two are unrelated; the steepest of ordinary mornings stays below a third.
 constexpr double minShiftOverSpread = 0.5;
-/// And this many times farther than reports lie on average.
+/// A shift must also be this many times farther from the slow average than reports usually are from the fast one.
 constexpr double minShiftOverNoise = 4;
-/// After a jump of the slow average the next one waits this many slow half-lives, and twice as long each time.
+/// Time between resets of the averages, in slow half-lives. Starts at the minimum and doubles with each reset up to
+/// the maximum.
 constexpr int minResetHalfLives = 4;
 constexpr int maxResetHalfLives = 64;
-/// Deviations of the measured spread from its mean that still count as noise.
+/// Number of standard deviations of the measured spread from its mean that still count as noise.
 constexpr double noiseDeviations = 5;
-/// A layer is volatile while reports differ from the fast average by more than this part of the spread.
+/// A layer is volatile while the mean square difference between reports and the fast average exceeds this fraction of
+/// the spread.
 constexpr double volatileResidualRatio = 0.3;
 
 double meanSquare(std::span<const double> a, std::span<const double> b)
@@ -39,11 +41,11 @@
     return sum / static_cast<double>(shares.size());
 }
 
-/// Draws `shares` towards their mean 1 as far as their spread is explained by noise (James and Stein's estimator).
+/// Shrinks `shares` towards their mean of 1 as far as noise explains their spread (James-Stein estimator).
 void shrink(std::span<const double> shares, double noise, std::vector<double>& out)
 {
     double spread = spreadOf(shares);
-    // With few experts the spread that noise alone gives varies more from report to report.
+    // With few experts, the spread caused by noise alone varies more from report to report.
     double margin = 1 + noiseDeviations * std::sqrt(2.0 / static_cast<double>(shares.size()));
     double retained = spread > 0 ? std::max(0.0, 1 - margin * noise / spread) : 0;
     for (std::size_t n = 0; n < shares.size(); ++n)
@@ -60,7 +62,7 @@
 Result<LoadEstimate> LoadEstimate::create(const MapShape& shape, const Options& options)
 {
     if (options.fastHalfLife <= milliseconds(0) || options.slowHalfLife < options.fastHalfLife)
-        return Error { ErrorCode::InvalidArgument, "the half-lives must be positive and the fast one not longer than the slow one" };
+        return Error { ErrorCode::InvalidArgument, "the half-lives of a load estimate must be positive, and the fast one must not be longer than the slow one" };
     return LoadEstimate(shape, options);
 }
 
@@ -77,11 +79,11 @@
 std::optional<Error> LoadEstimate::observe(TimePoint now, std::span<const double> tokens)
 {
     if (tokens.size() != static_cast<std::size_t>(m_shape.layers) * m_shape.experts)
-        return Error { ErrorCode::InvalidArgument, fmt::format("a report of {} values for {} layers of {} experts", tokens.size(), m_shape.layers, m_shape.experts) };
+        return Error { ErrorCode::InvalidArgument, fmt::format("load report has {} values, expected {} layers * {} experts", tokens.size(), m_shape.layers, m_shape.experts) };
     if (std::any_of(tokens.begin(), tokens.end(), [](double it) { return !std::isfinite(it) || it < 0; }))
-        return Error { ErrorCode::InvalidArgument, "a token count is negative or not a number" };
+        return Error { ErrorCode::InvalidArgument, "load report has a token count that is negative or not finite" };
     if (m_reports > 0 && now <= m_lastReport)
-        return Error { ErrorCode::Stale, "a report is not newer than the one before" };
+        return Error { ErrorCode::Stale, "load report is not newer than the previous one" };
     auto elapsed = std::chrono::duration_cast<milliseconds>(now - m_lastReport);
     double fastWeight = m_reports == 0 ? 1 : sampleWeight(elapsed, m_options.fastHalfLife);
     double slowWeight = m_reports == 0 ? 1 : sampleWeight(elapsed, m_options.slowHalfLife);
@@ -112,14 +114,15 @@
     square /= static_cast<double>(tokens.size());
     resetOnShift(layer, now, report);
     layer.residual = m_reports == 1 ? square : layer.residual + slowWeight * (square - layer.residual);
-    // Of an average that takes weight w of each new value, the variance is w / 2 of the mean square of the residuals.
+    // An exponential average that gives each new value the weight w has a variance of w / 2 times the mean square of
+    // the residuals.
     shrink(layer.fast, layer.residual * fastWeight / 2, layer.fastShrunk);
     shrink(layer.slow, layer.residual * slowWeight / 2, layer.slowShrunk);
 }
 
-/// Failure: after a sudden shift of demand the averages lag for an hour, and plans that must be good under both come
-/// late. So both jump to the report; ever less often, so that demand that swings to and fro can't make them follow each
-/// swing.
+/// Failure: after a sudden shift of demand the averages lag for an hour, so plans that must be good under both come
+/// late. Both averages are therefore reset to the report. Resets become less and less frequent, so that oscillating
+/// demand can't make the averages follow each swing.
 void LoadEstimate::resetOnShift(Layer& layer, TimePoint now, std::span<const double> report)
 {
     double distance = meanSquare(report, layer.slow);
--- a/src/expertmap/planner.cc
+++ b/src/expertmap/planner.cc
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::uint32_t minutesPerDay = 1440;
-/// Keeps divisions finite.
+/// Lower bound of divisors, which keeps quotients finite.
 constexpr double minDivisor = 1e-9;
 
 Error invalid(const char* text)
@@ -41,13 +41,13 @@
 Result<Planner> Planner::create(const Options& options, const ExpertMap& current)
 {
     if (!(options.skewWeight >= 0) || !(options.rebalanceWeight >= 0))
-        return invalid("the weights of a planner must not be negative");
+        return invalid("planner weights must not be negative");
     for (auto& it : options.quietHours) {
         if (it.fromMinute >= minutesPerDay || it.toMinute > minutesPerDay)
-            return invalid("quiet hours must lie within a day");
+            return invalid("quiet hours must lie within one day");
     }
     if (!(options.horizonSteps > 0) || !(options.minGain >= 0) || options.bytesPerExpert == Bytes(0))
-        return invalid("the horizon and the size of an expert must be positive");
+        return invalid("planner horizon and expert size must be positive, and the minimum gain must not be negative");
     auto estimate = LoadEstimate::create(current.shape(), options.estimate);
     if (!estimate)
         return estimate.error();
@@ -66,9 +66,9 @@
 std::optional<Error> Planner::setSpeeds(std::vector<double> speeds)
 {
     if (speeds.size() != m_speeds.size())
-        return invalid("one speed a rank is needed");
+        return invalid("the number of speeds must equal the number of ranks");
     if (std::any_of(speeds.begin(), speeds.end(), [](double it) { return !std::isfinite(it) || it <= 0; }))
-        return invalid("a speed must be positive");
+        return invalid("rank speeds must be positive and finite");
     m_speeds = std::move(speeds);
     return std::nullopt;
 }
@@ -109,7 +109,8 @@
 std::vector<LayerSearch> Planner::createSearches(TimePoint now) const
 {
     auto& shape = m_current.shape();
-    // Who minds moves more gives the slow average more say, and so moves only for what lasts.
+    // A higher rebalance weight gives the slow average more weight, so that experts are moved only for lasting
+    // demand.
     double slowWeight = m_options.rebalanceWeight / std::max(m_options.skewWeight + m_options.rebalanceWeight, minDivisor);
     std::vector<LayerSearch> found;
     found.reserve(shape.layers);
@@ -122,8 +123,8 @@
     return found;
 }
 
-/// The least gain, as a part of a layer's time, that pays for moving one expert: the steps it saves over the horizon
-/// outweigh what the move costs, each by its weight. A layer counts by its part of the step.
+/// Returns the minimum gain, as a fraction of a layer's time, that pays for moving one expert: the weighted steps
+/// saved over the horizon must outweigh the weighted cost of the move. A layer counts by its fraction of the step.
 double Planner::minGainPerExpert(double stepTime) const
 {
     double cost = m_options.rebalanceWeight * m_options.moveCostSteps / m_current.shape().layers;
--- a/src/expertmap/replica-layer.cc
+++ b/src/expertmap/replica-layer.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Power of the norm that stands for the greatest load: high enough that the most loaded rank rules, low enough that one
-/// of several equally loaded ranks counts when it improves.
+/// Power of the norm that approximates the greatest load. It is high enough that the most loaded rank dominates, and
+/// low enough that one of several equally loaded ranks counts when it improves.
 double pow12(double x)
 {
     auto x2 = x * x;
@@ -17,13 +17,14 @@
     return x8 * x4;
 }
 
-/// Gains below this are rounding.
+/// Smaller gains are rounding errors.
 constexpr double minGain = 1e-6;
 
 } // namespace
 
-/// Kept from one candidate to the next, so that weighing one neither allocates nor looks at ranks that it leaves as they
-/// are. With 64 ranks and 256 experts a plan takes a third of the time that it took when every candidate summed all ranks.
+/// Reused from one candidate to the next, so that evaluating a candidate neither allocates memory nor visits ranks
+/// that it leaves unchanged. With 64 ranks and 256 experts, a plan takes a third of the time that it takes when every
+/// candidate sums over all ranks.
 class ReplicaLayer::LoadChanges {
 public:
     explicit LoadChanges(std::uint32_t ranks)
@@ -120,7 +121,7 @@
     auto rank = rankOf(change.slot);
     auto dropped = m_slots[change.slot];
     if (change.swapSlot) {
-        // A swap: each expert keeps its number of replicas.
+        // In a swap, each expert keeps its number of replicas.
         auto moved = shareOf(change.expert) - shareOf(dropped.value());
         changes.add(rank, moved);
         changes.add(rankOf(*change.swapSlot), -moved);
@@ -148,7 +149,7 @@
     return saved;
 }
 
-/// Keeps the change with the best gain of those that it is shown.
+/// Keeps the change with the best gain per copy of those considered.
 class ReplicaLayer::BestChange {
 public:
     explicit BestChange(const ReplicaLayer& layer)
@@ -184,7 +185,8 @@
     auto hot = slowestRank();
     BestChange best(*this);
     auto firstSlot = hot * m_slotsPerRank;
-    // Replicas first: they cost one copy where a swap costs two, and what they gain rules most swaps out unseen.
+    // Replicas come first: they cost one copy where a swap costs two, and their gains rule out most swaps without
+    // evaluation.
     for (auto slot = firstSlot; slot < firstSlot + m_slotsPerRank; ++slot) {
         if (m_slots[slot] != noExpert)
             considerReplicas(hot, m_slots[slot].value(), copyBudgets, best);
@@ -203,7 +205,8 @@
 
 void ReplicaLayer::considerReplicas(std::uint32_t hot, std::uint32_t expert, std::span<const std::uint32_t> copyBudgets, BestChange& best) const
 {
-    // Of the empty slots one on the least loaded rank is the best: the same tokens cost most where most are.
+    // Of the empty slots, only one on the least loaded rank is considered: the same tokens cost more on a rank with
+    // more load.
     std::optional<std::uint32_t> empty;
     for (std::uint32_t slot = 0; slot < m_slots.size(); ++slot) {
         auto other = m_slots[slot];
@@ -223,7 +226,8 @@
 {
     auto expert = m_slots[hotSlot].value();
     constexpr double copiesPerSwap = 2;
-    // No swap gains more than one that leaves all of the expert's tokens to nobody.
+    // Upper bound: no swap gains more than removing all of the expert's tokens from the rank without adding them
+    // elsewhere.
     double maxGain = (m_costs[hot] - costOf(hot, m_loads[hot] - shareOf(expert))) / copiesPerSwap;
     if (maxGain <= best.gain())
         return;
--- a/src/expertmap/replica-layer.h
+++ b/src/expertmap/replica-layer.h
@@ -7,10 +7,12 @@
 #include <span>
 #include <vector>
 
-/// One layer of a map under even splitting, and the search for the copy that helps it most.
+/// Models one layer of a map whose engines split tokens evenly among replicas, and searches for the copy that
+/// improves it most.
 namespace swiftloft::expertmap::internal {
 
-/// Put `expert` into `slot`, dropping what is there. With `backSlot`, what was there goes to that slot: a swap.
+/// Puts `expert` into `slot` and drops the content of the slot. If `swapSlot` is set, the content moves there
+/// instead: a swap.
 struct ReplicaChange {
     std::uint32_t slot { 0 };
     std::uint32_t expert { 0 };
@@ -21,15 +23,15 @@
 
 class ReplicaLayer {
 public:
-    /// `paces` holds by rank how much longer a token takes there than usual; 1 is usual.
+    /// `paces` holds by rank how many times as long as usual a token takes there; 1 is usual.
     ReplicaLayer(const MapShape& shape, std::span<const ExpertIndex> slots, std::span<const double> tokens, std::span<const double> paces);
 
-    /// The one that takes the longest.
+    /// Returns the rank that takes the longest.
     std::uint32_t slowestRank() const;
-    /// Time of the rank that takes the longest over that of the mean tokens at the usual pace.
+    /// Returns the time of the slowest rank relative to that of the mean load at the usual pace; 0 without tokens.
     double peakRatio() const;
-    /// The change with the best gain in cost per copy among those that take load off the most loaded rank. `mayTake` holds
-    /// by rank how many more experts it may take in. Nothing when no change gains.
+    /// Finds the change with the best cost reduction per copy among those that take load off the slowest rank.
+    /// `copyBudgets` holds by rank how many more experts it may copy. Returns nothing when no change gains.
     std::optional<ReplicaChange> findBestChange(std::span<const std::uint32_t> copyBudgets) const;
     void apply(const ReplicaChange& change);
 
@@ -37,7 +39,7 @@
     std::uint32_t rankOf(std::uint32_t slot) const { return slot / m_slotsPerRank; }
 
 private:
-    /// What a change adds to the loads of the few ranks that it touches.
+    /// Load that a change adds to the few ranks that it affects.
     class LoadChanges;
     class BestChange;
 
@@ -46,7 +48,7 @@
     void considerReplicas(std::uint32_t hot, std::uint32_t expert, std::span<const std::uint32_t> copyBudgets, BestChange& best) const;
     void considerSwaps(std::uint32_t hot, std::uint32_t hotSlot, std::span<const std::uint32_t> copyBudgets, BestChange& best) const;
     void collectLoadChanges(const ReplicaChange& change, LoadChanges& changes) const;
-    /// What a change takes off the cost of the layer.
+    /// Returns the reduction of the layer's cost by a change.
     double costSaved(const LoadChanges& changes) const;
     double timeOf(std::uint32_t rank) const { return m_loads[rank] * m_paces[rank]; }
     double costOf(std::uint32_t rank, double load) const;
@@ -60,7 +62,7 @@
     std::vector<double> m_tokens;
     std::vector<double> m_paces;
     std::vector<double> m_loads;
-    /// What each rank adds to the cost of the layer.
+    /// Contribution of each rank to the cost of the layer.
     std::vector<double> m_costs;
     double m_meanLoad { 0 };
 };
--- a/src/expertmap/replica-planner.cc
+++ b/src/expertmap/replica-planner.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Of a report in the mean unlikeness: twenty reports or so make it, a second of them.
+/// Weight of a report in the mean dissimilarity: the mean covers about twenty reports, which is one second.
 constexpr double dissimilarityWeight = 0.05;
 
 std::span<const double> layerSlice(std::span<const double> tokens, std::uint32_t layer, const MapShape& shape)
@@ -26,7 +26,8 @@
     return std::accumulate(tokens.begin(), tokens.end(), 0.0);
 }
 
-/// Cosine of two demands: 1 when they ask for the experts in the same proportions. Layers without tokens are alike.
+/// Returns the cosine similarity of two demands: 1 when they request the experts in the same proportions, or when one
+/// of them has no tokens.
 double cosineSimilarity(std::span<const double> one, std::span<const double> other)
 {
     double product = std::inner_product(one.begin(), one.end(), other.begin(), 0.0);
@@ -39,7 +40,7 @@
 Result<ReplicaPlanner> ReplicaPlanner::create(const MapShape& shape, const Options& options)
 {
     if (options.halfLife <= milliseconds(0) || options.maxCopiesPerRankAndLayer == 0 || options.maxCopiesPerRank == 0)
-        return Error { ErrorCode::InvalidArgument, "the memory and the experts that a rank takes in must be positive" };
+        return Error { ErrorCode::InvalidArgument, "the half-life and the copy limits of a replica planner must be positive" };
     return ReplicaPlanner(shape, options);
 }
 
@@ -56,9 +57,9 @@
 std::optional<Error> ReplicaPlanner::observe(TimePoint now, std::span<const double> tokens)
 {
     if (tokens.size() != m_decayedTokens.size())
-        return Error { ErrorCode::InvalidArgument, "a report has not one value for each layer and expert" };
+        return Error { ErrorCode::InvalidArgument, "load report must have one value for each layer and expert" };
     if (std::any_of(tokens.begin(), tokens.end(), [](double it) { return !std::isfinite(it) || it < 0; }))
-        return Error { ErrorCode::InvalidArgument, "a token count is negative or not a number" };
+        return Error { ErrorCode::InvalidArgument, "load report has a token count that is negative or not finite" };
     auto elapsed = std::chrono::duration<double, std::milli>(std::max(now - m_observedAt, Clock::duration(0))).count();
     auto keep = std::exp2(-elapsed / static_cast<double>(m_options.halfLife.count()));
     m_observedAt = now;
@@ -68,9 +69,9 @@
     }
     if (totalTokens(layerSlice(m_recentTokens, 0, m_shape)) < m_options.minTokens)
         return std::nullopt;
-    // Failure: demand shifts at once, and a plan from a mixture of the old and the new demand copies experts that nobody
-    // needs; while they are copied every stream is slow. Forgotten, the old demand spoils no plan (a first map right
-    // after each shift instead of the second).
+    // Failure: after a sudden shift of demand, a plan from a mixture of the old and the new demand copies experts
+    // that are not needed, and every stream is slow while they are copied. Discarding the old demand prevents this:
+    // the first map after a shift is right, instead of only the second.
     if (detectShift()) {
         m_shiftedAt = now;
         std::fill(m_decayedTokens.begin(), m_decayedTokens.end(), 0.0);
@@ -80,7 +81,7 @@
     return std::nullopt;
 }
 
-/// True when what was reported last is so unlike the memory that demand must have shifted.
+/// Returns true when the last reported tokens differ so much from the history that demand must have shifted.
 bool ReplicaPlanner::detectShift()
 {
     if (!hasEnoughTokens())
@@ -122,7 +123,7 @@
 
 namespace {
 
-/// The search over all layers, with what each rank has taken in so far.
+/// Searches all layers for changes and counts the copies of each rank.
 class MapSearch {
 public:
     MapSearch(const MapShape& shape, const ReplicaPlanner::Options& options, std::vector<ReplicaLayer> layers)
@@ -135,7 +136,7 @@
     {
     }
 
-    /// Sum of the layers' peaks: what a step takes.
+    /// Returns the sum of the layers' peak ratios, a measure of the step time.
     double stepTime() const
     {
         return std::accumulate(m_layers.begin(), m_layers.end(), 0.0, [](double sum, auto& it) { return sum + it.peakRatio(); });
@@ -156,7 +157,8 @@
     }
 
 private:
-    /// The layer that is farthest from even comes first, as a rank can take in so many experts only.
+    /// Returns the layer that is farthest from balanced. It comes first because each rank may copy only a limited
+    /// number of experts.
     std::optional<std::uint32_t> worstLayer() const
     {
         std::optional<std::uint32_t> worst;
@@ -206,7 +208,7 @@
     std::vector<std::vector<std::uint32_t>> m_copiesByLayer;
 };
 
-/// The experts that ranks hold in `to` and not in `from`.
+/// Returns the experts that ranks hold in `to` and not in `from`.
 std::vector<ExpertMove> movesBetween(const ExpertMap& from, const ExpertMap& to)
 {
     auto& shape = to.shape();
@@ -225,7 +227,7 @@
     return moves;
 }
 
-/// Copies of the rank that takes in the most experts.
+/// Returns the number of copies of the rank that copies the most experts.
 std::uint32_t maxCopiesOfRank(const std::vector<ExpertMove>& moves, std::uint32_t ranks)
 {
     std::vector<std::uint32_t> copies(ranks);
--- a/src/expertmap/straggler.cc
+++ b/src/expertmap/straggler.cc
@@ -25,7 +25,7 @@
 {
     bool isWeight = options.speedWeight > 0 && options.speedWeight <= 1;
     if (ranks == 0 || !(options.factor > 1) || options.persistence == 0 || !isWeight)
-        return Error { ErrorCode::InvalidArgument, "a straggler detector needs ranks, a factor above 1, a persistence and a weight within (0, 1]" };
+        return Error { ErrorCode::InvalidArgument, "a straggler detector needs at least one rank, a factor above 1, a persistence of at least 1 and a weight within (0, 1]" };
     return StragglerDetector(ranks, options);
 }
 
@@ -38,9 +38,9 @@
 std::optional<Error> StragglerDetector::observe(std::span<const double> busyTimes, std::span<const double> tokens)
 {
     if (busyTimes.size() != m_ranks.size() || tokens.size() != m_ranks.size())
-        return Error { ErrorCode::InvalidArgument, "one time and one token count a rank are needed" };
+        return Error { ErrorCode::InvalidArgument, "the number of busy times and of token counts must equal the number of ranks" };
     if (std::any_of(busyTimes.begin(), busyTimes.end(), isInvalid) || std::any_of(tokens.begin(), tokens.end(), isInvalid))
-        return Error { ErrorCode::InvalidArgument, "a time or token count is negative or not a number" };
+        return Error { ErrorCode::InvalidArgument, "a busy time or token count is negative or not finite" };
     std::vector<double> perToken;
     for (std::size_t r = 0; r < m_ranks.size(); ++r) {
         if (tokens[r] > 0)
