--- a/bench/expertmap-bench.cc
+++ b/bench/expertmap-bench.cc
@@ -55,9 +55,9 @@
             it.skewP99 / repack.skewP99, bytes);
     }
     for (auto& it : runs) {
-        // Where repack is no better than static there is no way to go.
+        // Without a difference between static and repack, the share of the gap is undefined.
         if (it.policy == "rasoi" && fixed.skewP99 > 1.02 * repack.skewP99)
-            fmt::print("  rasoi goes {:.0f}% of the way from static to repack at p99\n", 100 * (fixed.skewP99 - it.skewP99) / (fixed.skewP99 - repack.skewP99));
+            fmt::print("  rasoi closes {:.0f}% of the gap between static and repack at p99\n", 100 * (fixed.skewP99 - it.skewP99) / (fixed.skewP99 - repack.skewP99));
     }
 }
 
@@ -75,11 +75,12 @@
 
 void printDetection(const DetectionResult& it)
 {
-    fmt::print("  {:20} factor {:.2f}, {:2} in a row: precision {:.3f} recall {:.3f} F1 {:.3f} found {:2}/{:2} steps to detect {:6.1f}\n", toString(it.setting.kind),
+    fmt::print("  {:20} factor {:.2f}, persistence {:2}: precision {:.3f} recall {:.3f} F1 {:.3f} found {:2}/{:2} steps to detect {:6.1f}\n", toString(it.setting.kind),
         it.setting.factor, it.setting.persistence, it.precision(), it.recall(), it.f1(), it.slowPeriodsDetected, it.slowPeriods, it.stepsToDetect);
 }
 
-/// Each method with the setting of the paper or of the detector, then with the one that was best on a trace of its own.
+/// Compares the methods: each with the setting of the paper or of the detector, then with the best setting on a
+/// separate training trace.
 void compareDetectors(const MapShape& shape, const Arguments& arguments)
 {
     constexpr std::uint32_t stepsPerInterval = 32;
@@ -96,7 +97,8 @@
     }
 }
 
-/// Time of one decision with demand the planner has not adapted to yet, the costliest case.
+/// Measures the time of a decision for demand that the planner has not adapted to yet, which is the most expensive
+/// case.
 void timeDecision(const MapShape& shape)
 {
     auto trace = generateTrace(TraceKind::Flip, shape, 16, 1);
@@ -117,7 +119,7 @@
 
 void timeDecisions()
 {
-    fmt::print("time of a decision\n");
+    fmt::print("decision times\n");
     for (std::uint32_t layers : { 15u, 30u, 60u, 120u })
         timeDecision({ 64, layers, 64, 2 });
     for (std::uint32_t ranks : { 8u, 16u, 32u, 128u })
@@ -125,7 +127,7 @@
     timeDecision({ 4, 60, 16, 5 });
 }
 
-/// The goals over many seeds: the worst of each figure.
+/// Worst value of each target figure over many seeds.
 struct WorstCase {
     double viaHeRatio { 0 };
     double viaHeBytes { 0 };
@@ -162,7 +164,7 @@
 
 void printGoals(const Arguments& arguments)
 {
-    fmt::print("worst of {} seeds from {}: via-he p99/repack, % bytes, most experts moved | rasoi % of the way, % bytes, moved in quiet hours\n", arguments.seeds, arguments.seed);
+    fmt::print("worst of {} seeds from {}: via-he p99/repack, % bytes, max experts moved | rasoi % of the gap closed, % bytes, moved in quiet hours\n", arguments.seeds, arguments.seed);
     for (auto& shape : shapes(arguments)) {
         for (auto kind : traceKinds) {
             auto it = worstCaseOf(kind, shape, arguments);
@@ -173,7 +175,7 @@
     }
 }
 
-/// Takes a group through one change of map with ranks that do at once what they are told; counts orders and time.
+/// Measures the orders and the time of one map change in a group whose ranks carry out each order at once.
 void timeCoordinator(std::uint32_t ranks)
 {
     constexpr MapVersion first { 1 };
@@ -224,7 +226,7 @@
     double idle = runRounds(20) / static_cast<double>(orders);
     enqueueOrders(coordinator.apply(now, coordination::MapWanted { second }));
     double change = runRounds(4);
-    fmt::print("  {:4} ranks: {:.2f} us an idle report, {} orders and {:.0f} us a change (coordinator only)\n", ranks, idle, orders, change);
+    fmt::print("  {:4} ranks: {:.2f} us per idle report, {} orders and {:.0f} us per change (coordinator only)\n", ranks, idle, orders, change);
 }
 
 template <typename Schema, typename T>
@@ -290,17 +292,17 @@
 
 int main(int argc, char** argv)
 {
-    cxxopts::Options options("expertmap-bench", "Replays drift traces against all placement policies and prints their figures.");
+    cxxopts::Options options("expertmap-bench", "Replays drift traces against all placement policies and prints their results.");
     Arguments arguments;
     options.add_options()("seed", "seed of the generated traces", cxxopts::value(arguments.seed)->default_value("1"));
-    options.add_options()("intervals", "intervals of five minutes to generate", cxxopts::value(arguments.intervals)->default_value("288"));
-    options.add_options()("seeds", "print only the worst figures of so many seeds", cxxopts::value(arguments.seeds)->default_value("1"));
+    options.add_options()("intervals", "number of five-minute intervals to generate", cxxopts::value(arguments.intervals)->default_value("288"));
+    options.add_options()("seeds", "number of seeds; if more than one, print only the worst results over them", cxxopts::value(arguments.seeds)->default_value("1"));
     options.add_options()("layers", "layers of the generated traces", cxxopts::value(arguments.layers)->default_value("4"));
-    options.add_options()("svg", "folder to write one plot a trace to", cxxopts::value(arguments.svgFolder)->default_value(""));
+    options.add_options()("svg", "folder to write one SVG plot per trace to", cxxopts::value(arguments.svgFolder)->default_value(""));
     options.add_options()("trace", "replay this file instead of generated traces", cxxopts::value(arguments.traceFile)->default_value(""));
-    options.add_options()("write-traces", "write the small traces to this folder and stop", cxxopts::value(arguments.writeFolder)->default_value(""));
-    options.add_options()("no-times", "leave out the times of decisions");
-    options.add_options()("help", "print this text");
+    options.add_options()("write-traces", "write the small traces to this folder and exit", cxxopts::value(arguments.writeFolder)->default_value(""));
+    options.add_options()("no-times", "do not measure the times of decisions and of the coordinator");
+    options.add_options()("help", "print this help");
     try {
         auto parsed = options.parse(argc, argv);
         if (parsed.count("help")) {
--- a/bench/expertmap-svg.cc
+++ b/bench/expertmap-svg.cc
@@ -17,7 +17,7 @@
 constexpr double top = 50;
 constexpr double gap = 50;
 constexpr int ticks = 5;
-/// Bounds of the axis of bytes; what lies below is drawn at the lower one.
+/// Bounds of the axis of bytes. Smaller values are drawn at the lower bound.
 constexpr double minGigabytes = 0.1;
 constexpr double maxGigabytes = 1e4;
 constexpr std::array<const char*, 5> colours { "#888888", "#d95f02", "#1b9e77", "#7570b3", "#e6ab02" };
@@ -32,7 +32,7 @@
     double top { 0 };
     double low { 0 };
     double high { 1 };
-    /// Values are powers of ten.
+    /// Values are logarithms to base 10.
     bool isLogarithmic { false };
 };
 
--- a/bench/expertmap-svg.h
+++ b/bench/expertmap-svg.h
@@ -6,7 +6,7 @@
 
 namespace swiftloft::expertmap::bench {
 
-/// A plot of skew (above) and of bytes moved so far (below) over the day, one line a policy.
+/// Returns an SVG plot of skew (above) and of bytes moved so far (below) over the day, with one line per policy.
 std::string plot(const replay::Trace& trace, const std::vector<replay::ReplayResult>& runs, Bytes bytesPerExpert);
 
 } // namespace swiftloft::expertmap::bench
--- a/src/expertmap/replay/baselines.cc
+++ b/src/expertmap/replay/baselines.cc
@@ -47,7 +47,8 @@
             if (used[r] < shape.slotsPerRank && !isHeld && (best == shape.ranks || times[r] < times[best]))
                 best = r;
         }
-        // The last replicas may find no rank that has a slot and not yet the expert; they are left out.
+        // The last replicas may find no rank that has a free slot and does not hold the expert yet; they are left
+        // out.
         if (best == shape.ranks)
             continue;
         slots[best * shape.slotsPerRank + used[best]++] = ExpertIndex(replica.expert);
--- a/src/expertmap/replay/policies.cc
+++ b/src/expertmap/replay/policies.cc
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// A decision is bounded in time and may leave gains untaken; it is repeated up to so many times before the map changes.
+/// A decision is bounded in time and may leave gains unused, so it is repeated up to this many times before the map
+/// changes.
 constexpr int decisionsPerInterval = 40;
 
 } // namespace
--- a/src/expertmap/replay/replay.cc
+++ b/src/expertmap/replay/replay.cc
@@ -34,7 +34,7 @@
     return values[index];
 }
 
-/// One group under one policy.
+/// Replays one rank group under one policy.
 class ReplayRun {
 public:
     ReplayRun(const Trace& trace, const ExpertMap& initial, const Policy& policy, const ReplayOptions& options)
@@ -83,7 +83,7 @@
         m_result.intervals.push_back({ skewSum / m_options.stepsPerInterval, decide(t) });
     }
 
-    /// What each rank gets of each expert, by the newest estimate.
+    /// Splits each expert's tokens among its replicas by the newest estimate.
     void splitTokens()
     {
         auto& shape = m_trace.shape;
@@ -132,7 +132,8 @@
         return times;
     }
 
-    /// Tokens of one step: a count with the given mean, Poisson by its normal approximation.
+    /// Draws the token count of one step from a Poisson distribution with the given mean, in its normal
+    /// approximation.
     double drawTokens(double mean)
     {
         return std::max(0.0, mean + std::sqrt(mean) * m_normal(m_random));
@@ -164,7 +165,7 @@
     StragglerDetector m_detector;
     ExpertMap m_running;
     ExpertMap m_staged;
-    /// By layer and slot: the part of its expert's tokens that the slot gets.
+    /// Fraction of its expert's tokens that each slot receives, by layer and slot.
     std::vector<double> m_slotShares;
     std::vector<double> m_skews;
     std::vector<double> m_boundRatios;
--- a/src/expertmap/replay/stragglers.cc
+++ b/src/expertmap/replay/stragglers.cc
@@ -13,7 +13,7 @@
 
 constexpr double factorGrid[] = { 1.05, 1.08, 1.1, 1.12, 1.15, 1.2, 1.25, 1.3, 1.4, 1.5 };
 constexpr std::uint32_t persistenceGrid[] = { 1, 3, 6, 10, 40 };
-/// Spread (of the logarithm) of a rank's time for equal tokens from step to step.
+/// Spread (of the logarithm) of a rank's time for equal tokens, from step to step.
 constexpr double timeSpread = 0.03;
 
 std::vector<bool> overThreshold(std::span<const double> times, double factor)
@@ -26,7 +26,8 @@
     return flags;
 }
 
-/// One method with its persistence: the same rule for all, so that only the tests differ.
+/// Applies one method with its persistence. The persistence rule is the same for all methods, so that only their
+/// tests differ.
 class Detector {
 public:
     Detector(const DetectorSetting& setting, std::size_t ranks)
@@ -66,7 +67,7 @@
     std::vector<bool> m_flags;
 };
 
-/// A rank that is slow from one interval to another.
+/// Period in which a rank is slow, from one interval to another.
 struct SlowPeriod {
     std::uint32_t rank { 0 };
     std::uint32_t from { 0 };
@@ -74,7 +75,7 @@
     bool isDetected { false };
 };
 
-/// Slow stretches of more than one interval; a stall of one interval is no slow hardware.
+/// Returns the slow periods of more than one interval. A stall of one interval does not indicate slow hardware.
 std::vector<SlowPeriod> findSlowPeriods(const Trace& trace)
 {
     std::vector<SlowPeriod> periods;
@@ -148,7 +149,7 @@
 
 const char* toString(DetectorKind kind)
 {
-    constexpr std::array<const char*, 3> names { "START, time a token", "START, step time", "threshold on median" };
+    constexpr std::array<const char*, 3> names { "START, per token", "START, step time", "threshold on median" };
     return names[static_cast<std::size_t>(kind)];
 }
 
--- a/src/expertmap/replay/trace-generator.cc
+++ b/src/expertmap/replay/trace-generator.cc
@@ -17,23 +17,23 @@
 using Random = boost::random::mt19937_64;
 
 constexpr double tokensPerRank = 1024;
-/// Spread (of the logarithm) of popularity among experts for one kind of work.
+/// Spread (of the logarithm) of the popularity of experts for one kind of work.
 constexpr double popularitySpread = 0.8;
 /// Spread of the random walk of popularity from one interval to the next.
 constexpr double driftSpread = 0.02;
-/// Spread of an interval's loads around their mean.
+/// Spread of the loads of an interval around their mean.
 constexpr double intervalSpread = 0.05;
 constexpr double pureNoiseSpread = 0.2;
 constexpr std::uint32_t oscillationIntervals = 4;
 constexpr std::size_t workloadKinds = 3;
 
-/// A stretch of the day with more of one kind of work.
+/// Period of the day with more work of one kind.
 struct DemandPeak {
     std::size_t kind { 0 };
     double fromMinute { 0 };
     double toMinute { 0 };
     double weight { 0 };
-    /// Minutes over which it comes and goes.
+    /// Minutes over which the peak rises and falls.
     double ramp { 30 };
 };
 
@@ -44,8 +44,8 @@
     return peak.weight * std::min(rise, fall);
 }
 
-/// Kinds: 0 application letters, 1 ward notices, 2 floor plans. Letters before the filing windows close at 11:00 and
-/// 16:30; notices come in bursts.
+/// Kinds of work: 0 application letters, 1 ward notices, 2 floor plans. Letters peak before the filing windows close
+/// at 11:00 and 16:30; notices come in bursts.
 std::vector<DemandPeak> hanoiPeaks(Random& random)
 {
     std::vector<DemandPeak> peaks { { 0, 450, 660, 4 }, { 0, 810, 990, 4 }, { 2, 1080, 1290, 2 } };
@@ -57,8 +57,8 @@
     return peaks;
 }
 
-/// Kinds: 0 route redrafts, 1 reroutes explained to drivers, 2 caterers' questions. The morning rush, and kitchens that
-/// run late together at noon and in the evening.
+/// Kinds of work: 0 route redrafts, 1 explanations of reroutes for drivers, 2 questions of caterers. Explanations
+/// peak in the morning rush, and redrafts when many kitchens run late at the same time, at noon and in the evening.
 std::vector<DemandPeak> gujaratPeaks(Random& random)
 {
     std::vector<DemandPeak> peaks { { 1, 420, 570, 4 }, { 2, 900, 1080, 2 } };
@@ -149,7 +149,8 @@
         return loads;
     }
 
-    /// One rank in sixteen, at least one, gets slow for a sixth of the trace; others stall for a single interval.
+    /// Makes one rank in sixteen, but at least one, slow for a sixth of the trace. Other ranks stall for a single
+    /// interval.
     void addSlowRanks()
     {
         auto ranks = m_trace.shape.ranks;
--- a/src/expertmap/replay/trace.cc
+++ b/src/expertmap/replay/trace.cc
@@ -20,7 +20,7 @@
     return { ErrorCode::MalformedInput, fmt::format("line {}: {}", line, what) };
 }
 
-/// Reads one `key value...` line into the trace; the text of the fault, or empty.
+/// Parses one `key value...` line into the trace. Returns the error text, or an empty text on success.
 std::string parseLine(Trace& trace, const std::string& text)
 {
     std::istringstream line(text);
@@ -48,7 +48,7 @@
         SpeedChange change;
         line >> change.interval >> change.rank >> change.speed;
         if (line && (change.rank >= trace.shape.ranks || !(change.speed > 0)))
-            return "a speed names no rank, or is not positive";
+            return "speed line has an unknown rank or a speed that is not positive";
         trace.speedChanges.push_back(change);
     } else if (key == "load") {
         std::uint32_t interval = 0;
@@ -56,11 +56,11 @@
         line >> interval >> layer;
         bool isNext = layer < trace.shape.layers && interval == trace.loads.size() - (layer > 0 ? 1 : 0);
         if (!line || !isNext)
-            return "loads must come in order of interval and layer";
+            return "load lines must be in order of interval and layer";
         if (layer == 0)
             trace.loads.emplace_back().reserve(static_cast<std::size_t>(trace.shape.layers) * trace.shape.experts);
         if (trace.loads.back().size() != static_cast<std::size_t>(layer) * trace.shape.experts)
-            return "a layer is missing or doubled";
+            return "a layer is missing or duplicated";
         for (std::uint32_t n = 0; n < trace.shape.experts; ++n) {
             double load = -1;
             line >> load;
@@ -70,7 +70,7 @@
         }
     } else
         return fmt::format("unknown key '{}'", key);
-    return line ? "" : fmt::format("'{}' has no good value", key);
+    return line ? "" : fmt::format("missing or invalid value of '{}'", key);
 }
 
 } // namespace
@@ -108,7 +108,7 @@
     Trace trace;
     std::string text;
     if (!std::getline(in, text) || text != magic)
-        return malformed(1, "not a trace");
+        return malformed(1, "not a trace: the header line is missing or unknown");
     for (std::size_t line = 2; std::getline(in, text); ++line) {
         auto error = parseLine(trace, text);
         if (!error.empty())
@@ -116,7 +116,7 @@
     }
     auto valuesPerInterval = static_cast<std::size_t>(trace.shape.layers) * trace.shape.experts;
     if (valuesPerInterval == 0 || trace.loads.empty() || trace.loads.back().size() != valuesPerInterval || !(trace.tokensPerStep > 0))
-        return malformed(0, "the trace ends early");
+        return malformed(0, "incomplete trace: the shape, tokens per step or loads of the last interval are missing");
     return trace;
 }
 
--- a/src/expertmap/replay/trace.h
+++ b/src/expertmap/replay/trace.h
@@ -7,24 +7,24 @@
 #include <string>
 #include <vector>
 
-/// Recorded demand of rank groups, and the replay of policies against it. Used by the bench and by tests; not part of the
-/// public library.
+/// Recorded demand of rank groups, and the replay of policies against it. Used by the benchmark and by tests; not
+/// part of the public library.
 namespace swiftloft::expertmap::replay {
 
-/// From `interval` on, `rank` works at `speed` (1 is normal).
+/// From `interval` on, `rank` runs at `speed` (1 is normal).
 struct SpeedChange {
     std::uint32_t interval { 0 };
     std::uint32_t rank { 0 };
     double speed { 1 };
 };
 
-/// Tokens by interval, layer and expert, as bench/traces/README.md describes.
+/// Tokens by interval, layer and expert, in the format that bench/traces/README.md describes.
 struct Trace {
     std::string name;
     MapShape shape;
     std::uint32_t intervalMinutes { 5 };
     std::uint32_t startMinute { 0 };
-    /// Tokens of one layer in one step; the unit of `loads` is tokens of one step.
+    /// Tokens of one layer in one step. The values of `loads` are also tokens of one step.
     double tokensPerStep { 0 };
     std::uint64_t seed { 0 };
     std::vector<SpeedChange> speedChanges;
@@ -33,14 +33,16 @@
 
     std::uint32_t intervals() const { return static_cast<std::uint32_t>(loads.size()); }
     std::uint32_t minuteOfDay(std::uint32_t interval) const { return (startMinute + interval * intervalMinutes) % 1440; }
+    /// Speeds by rank in `interval`.
     std::vector<double> speedsAt(std::uint32_t interval) const;
 };
 
+/// Writes `trace` as text that `readTrace` parses.
 void writeTrace(std::ostream& out, const Trace& trace);
-/// Fails with `MalformedInput`, naming the line, when the text is no whole trace.
+/// Parses a trace. Fails with `MalformedInput`, naming the line, when the text is not a complete trace.
 Result<Trace> readTrace(std::istream& in);
 
-/// The kinds of trace the generator makes.
+/// Kinds of trace that the generator makes.
 enum class TraceKind {
     HanoiDay,
     GujaratDay,
@@ -54,7 +56,7 @@
 
 const char* toString(TraceKind kind);
 
-/// The same kind, shape, length and seed give the same trace.
+/// Generates a trace. The same kind, shape, length and seed always give the same trace.
 Trace generateTrace(TraceKind kind, const MapShape& shape, std::uint32_t intervals, std::uint64_t seed);
 
 } // namespace swiftloft::expertmap::replay
