--- a/test/expertmap-planner_test.cc
+++ b/test/expertmap-planner_test.cc
@@ -42,7 +42,7 @@
     return runs;
 }
 
-/// Loads of a layer on which expert 0 gets `factor` times as many tokens as each other one.
+/// Returns loads in which expert 0 of each layer gets `factor` times as many tokens as each other expert.
 std::vector<double> withHotExpert(const MapShape& shape, double factor)
 {
     std::vector<double> loads(static_cast<std::size_t>(shape.layers) * shape.experts, 1000.0);
@@ -67,7 +67,7 @@
 
 } // namespace
 
-TEST_CASE("ExpertMap refuses a map that can't run")
+TEST_CASE("ExpertMap rejects an invalid map")
 {
     MapShape shape { 2, 1, 2, 2 };
     auto createMap = [&](const std::vector<std::uint32_t>& experts) {
@@ -108,7 +108,7 @@
     CHECK(planner.plan(minute(63), 60).reason == PlanReason::Moved);
 }
 
-TEST_CASE("Planner keeps under its cap on bytes a minute")
+TEST_CASE("Planner stays within its cap on bytes per minute")
 {
     auto options = viaHeOptions();
     options.bytesPerMinute = Bytes(options.bytesPerExpert.value() / 10);
@@ -122,7 +122,7 @@
     CHECK(plannerWithReports(options, withHotExpert(smallShape, 12)).plan(minute(61), 600).reason == PlanReason::OverByteCap);
 }
 
-TEST_CASE("Planner refuses options and reports that can't be right")
+TEST_CASE("Planner rejects invalid options and reports")
 {
     auto map = ExpertMap::even(smallShape).value();
     Planner::Options options;
@@ -138,10 +138,11 @@
     CHECK(planner.setSpeeds({ 1, 1, 0, 1 }).has_value());
 }
 
-TEST_CASE("Slow rank is told apart from a hot expert, and gets fewer tokens")
+TEST_CASE("Slow rank is distinguished from a hot expert and receives fewer tokens")
 {
-    // An operator sees one rank hold back its group though its experts are not in demand. Moving experts by load alone
-    // would never help: the rank is slow at equal tokens. It is reported, and tokens go to replicas elsewhere.
+    // Failure: one rank holds back its group though its experts are not in demand. Moving experts by load alone does
+    // not help, because the rank is slow at equal tokens. It must be reported as a straggler, and its tokens must go
+    // to replicas on other ranks.
     auto detector = StragglerDetector::create(4, {}).value();
     std::vector<double> tokens { 4000, 1000, 1000, 1000 };
     for (int n = 0; n < 10; ++n)
@@ -164,7 +165,7 @@
     CHECK(blind.skewP50 < even.skewP50 * 1.25);
 }
 
-TEST_CASE("Pareto tail: a time far out is called a straggler, an even field is not")
+TEST_CASE("Pareto tail: an outlier is flagged as a straggler, equal times are not")
 {
     std::vector<double> even(16, 1.0);
     CHECK(paretoStragglers(even, 1.5) == std::vector<bool>(16, false));
@@ -185,7 +186,7 @@
     }
 }
 
-TEST_CASE("Recorded days: Rasoi Rahdari's weights go half the way with a fiftieth of the bytes and keep quiet hours")
+TEST_CASE("Recorded days: Rasoi Rahdari's weights close half of the gap to full repack with a fiftieth of the bytes and respect quiet hours")
 {
     for (auto kind : { TraceKind::HanoiDay, TraceKind::GujaratDay, TraceKind::Flip }) {
         CAPTURE(toString(kind));
@@ -198,7 +199,8 @@
 
 TEST_CASE("Opposite weights: Rasoi Rahdari moves less than half as much, Vỉa Hè has less skew")
 {
-    // Groups of few experts gain so much from each move that both weights take the same ones; 16 ranks tell them apart.
+    // Groups of few experts gain so much from each move that both weights select the same moves; with 16 ranks the
+    // weights differ.
     std::map<std::string, ReplayResult> sums;
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
         for (auto& [name, run] : replayAll(generateTrace(TraceKind::HanoiDay, { 16, 2, 16, 2 }, 288, seed))) {
@@ -214,14 +216,14 @@
 
 TEST_CASE("Recorded noise: no expert is moved")
 {
-    // An operator sees weights loaded all day though demand is even. Each report differs by chance, and a policy that
-    // takes chance for demand moves experts to and fro.
+    // Failure: weights are loaded all day though demand is even. Reports differ by chance, and a policy that takes
+    // chance for demand moves experts back and forth.
     auto runs = replayAll(readRecordedTrace(TraceKind::Noise));
     CHECK(runs["via-he"].expertsMoved == 0);
     CHECK(runs["rasoi"].expertsMoved == 0);
 }
 
-TEST_CASE("Traces: the committed files are what the generator makes, and bad text is refused by line")
+TEST_CASE("Traces: the generator reproduces the committed files, and malformed text is rejected with its line")
 {
     for (auto kind : traceKinds) {
         auto trace = readRecordedTrace(kind);
--- a/test/replica-layer_test.cc
+++ b/test/replica-layer_test.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// The cost that the search lowers, summed over all ranks.
+/// Cost that the search reduces, summed over all ranks.
 double costOf(const MapShape& shape, const std::vector<ExpertIndex>& slots, const std::vector<double>& tokens)
 {
     std::vector<double> loads(shape.ranks);
@@ -43,9 +43,9 @@
 
 } // namespace
 
-// The search weighs only the ranks that a change touches and leaves out what can't win. It must find what weighing every
-// change over all ranks finds, on maps with and without room, along a whole plan.
-TEST_CASE("ReplicaLayer: no change takes off more for its copies than the one that is found")
+// The search evaluates only the ranks that a change affects and skips changes that cannot be the best. It must find
+// what evaluating every change over all ranks finds, on maps with and without free slots, at each change of a plan.
+TEST_CASE("ReplicaLayer: no change reduces the cost more per copy than the one that is found")
 {
     std::mt19937 random(11);
     MapShape shape { 6, 1, 18, 4 };
@@ -61,7 +61,8 @@
             auto found = layer.findBestChange(copyBudgets);
             double bestGain = 0;
             auto hot = layer.slowestRank();
-            // All that take tokens off the most loaded rank: its experts anywhere else, in addition or in exchange.
+            // All changes that take tokens off the slowest rank: each of its experts is added to any other rank or
+            // swapped with one there.
             for (std::uint32_t slot = 0; slot < slots.size(); ++slot) {
                 for (auto back = hot * shape.slotsPerRank; back < (hot + 1) * shape.slotsPerRank; ++back) {
                     if (slots[back] == noExpert || layer.rankOf(slot) == hot)
--- a/test/replica-planner_test.cc
+++ b/test/replica-planner_test.cc
@@ -20,7 +20,7 @@
     return ExpertMap::inTurn(shape).value();
 }
 
-/// Demand in which a few experts get most of the tokens.
+/// Returns demand in which a few experts get most of the tokens.
 std::vector<double> demand(unsigned seed)
 {
     std::mt19937 random(seed);
@@ -61,7 +61,7 @@
     }
 }
 
-TEST_CASE("ReplicaPlanner: no rank takes in more than it may")
+TEST_CASE("ReplicaPlanner: no rank copies more experts than allowed")
 {
     ReplicaPlanner::Options options;
     options.maxCopiesPerRankAndLayer = 2;
@@ -82,7 +82,7 @@
     }
 }
 
-TEST_CASE("ReplicaPlanner: nothing is moved before enough is known, nor for little")
+TEST_CASE("ReplicaPlanner: nothing is moved without enough data or for a small gain")
 {
     auto planner = ReplicaPlanner::create(shape, {}).value();
     CHECK(planner.plan(roundRobinMap()).reason == PlanReason::NotEnoughData);
@@ -91,8 +91,9 @@
     CHECK(planner.plan(roundRobinMap()).reason == PlanReason::NoGain);
 }
 
-// Demand shifts at once. A planner that remembers the old demand for long plans for what is over.
-TEST_CASE("ReplicaPlanner: a shift of demand rules the plan after a few half-lives")
+// Failure: demand shifts suddenly, and a planner that remembers the old demand for too long plans for demand that is
+// over.
+TEST_CASE("ReplicaPlanner: the plan follows a shift of demand after a few half-lives")
 {
     ReplicaPlanner::Options options;
     auto planner = plannerFor(1, options);
@@ -104,7 +105,7 @@
     CHECK(shifted.imbalance(*map) < 1.4);
 }
 
-TEST_CASE("ReplicaPlanner: bad reports and options are refused")
+TEST_CASE("ReplicaPlanner: invalid reports and options are rejected")
 {
     auto planner = ReplicaPlanner::create(shape, {}).value();
     CHECK(planner.observe(start, std::vector<double>(7)).has_value());
@@ -115,9 +116,9 @@
     CHECK_FALSE(ReplicaPlanner::create(shape, options).has_value());
 }
 
-// Steps are slow for half a second after each shift of demand. The planner's memory still holds the old demand, the first
-// plan suits neither demand, and ranks load experts for it that nobody asks for; only the second plan helps.
-TEST_CASE("ReplicaPlanner: a shift of demand ends the memory at once")
+// Failure: steps are slow for half a second after each shift of demand. While the history still holds the old demand,
+// the first plan suits neither demand, and ranks load experts that nobody requests; only the second plan helps.
+TEST_CASE("ReplicaPlanner: a shift of demand discards the history at once")
 {
     auto planner = plannerFor(1);
     auto now = start;
@@ -133,8 +134,9 @@
     CHECK(std::equal(map->slots().begin(), map->slots().end(), onlyNew->slots().begin(), onlyNew->slots().end()));
 }
 
-// A report straddles the shift: half of it is of the old demand. Taken for the new demand, it would be planned for.
-TEST_CASE("ReplicaPlanner: a report with both demands is told from the one behind it")
+// Failure: a report straddles the shift, so that half of its tokens belong to the old demand. A planner that takes it
+// for the new demand plans for the mixture.
+TEST_CASE("ReplicaPlanner: a report with both demands is distinguished from the one after it")
 {
     auto planner = plannerFor(1);
     auto now = start;
@@ -151,9 +153,10 @@
     CHECK(planner.shiftedAt() == now - milliseconds(50));
 }
 
-// Counts of few ranks differ from report to report by the requests that these ranks happen to run. Taken for shifts, maps
-// would be planned from single reports: 72 changes instead of 26 on a day of calm.
-TEST_CASE("ReplicaPlanner: reports that are always unlike each other tell of no shift")
+// Failure: the counts of few ranks differ from report to report, depending on the requests that these ranks happen to
+// run. If the differences count as shifts, maps are planned from single reports: 72 changes instead of 26 on a calm
+// day.
+TEST_CASE("ReplicaPlanner: reports that always differ from each other indicate no shift")
 {
     auto planner = plannerFor(1);
     std::mt19937 random(7);
@@ -170,9 +173,10 @@
     CHECK(shifts == 0);
 }
 
-// 64 ranks run with three times the mean on the most loaded one, and every step is slow for the whole day. A change would
-// take a fifth of a second, as all ranks copy at the same time, but was charged for the copies of all of them together.
-TEST_CASE("ReplicaPlanner: a change of 64 ranks is worth what it gains against the copies of one of them")
+// Failure: 64 ranks run with three times the mean load on the most loaded one, and every step is slow for the whole
+// day. A change would take a fifth of a second, as all ranks copy in parallel, but the planner charged it for the
+// copies of all ranks together and made none.
+TEST_CASE("ReplicaPlanner: a change of 64 ranks is charged only for the copies of one rank")
 {
     MapShape large { 64, 12, 256, 5 };
     std::mt19937 random(2);
@@ -197,9 +201,9 @@
     CHECK(planner.imbalance(*plan.map) < 1.5);
 }
 
-// One of twelve engines slows to half its speed. Every step of the group waits for it, and the drafts of twelve engines come
-// late, while its experts could be any: it gets those that are asked for least.
-TEST_CASE("ReplicaPlanner: a slow rank gets the experts that are least in demand")
+// Failure: one of twelve engines slows to half its speed. Every step of the group waits for it, so the output of all
+// twelve engines is late, although any experts could be placed on it. It must get the experts with the least demand.
+TEST_CASE("ReplicaPlanner: a slow rank gets the experts with the least demand")
 {
     for (unsigned seed = 1; seed <= 5; ++seed) {
         auto planner = plannerFor(seed);
