--- a/src/agent/engine-port.h
+++ b/src/agent/engine-port.h
@@ -36,7 +36,7 @@
     std::optional<MapVersion> prepared;
     std::optional<expertmap::SwitchPoint> armed;
     /// The group does not begin this step before the rank is released.
-    std::optional<StepNumber> heldAt;
+    std::optional<StepNumber> heldStep;
 };
 
 /// What the engine counted and holds, by layer and expert.
@@ -70,7 +70,7 @@
     const expertmap::ExpertMap* map { nullptr };
 };
 
-enum class CommandEnd {
+enum class CommandOutcome {
     Done,
     /// Does not fit the engine's state, or the epoch.
     Refused,
@@ -84,8 +84,8 @@
     std::function<boost::asio::awaitable<EngineView>(TimePoint deadline)> read;
     std::function<boost::asio::awaitable<EngineCounts>(TimePoint deadline)> readCounts;
     /// The same without `tokens`, which are most of what is read.
-    std::function<boost::asio::awaitable<EngineCounts>(TimePoint deadline)> readHeld;
-    std::function<boost::asio::awaitable<CommandEnd>(EngineCommand command, TimePoint deadline)> command;
+    std::function<boost::asio::awaitable<EngineCounts>(TimePoint deadline)> readHeldExperts;
+    std::function<boost::asio::awaitable<CommandOutcome>(EngineCommand command, TimePoint deadline)> command;
 };
 
 } // namespace swiftloft::agent
--- a/src/agent/group-member.cc
+++ b/src/agent/group-member.cc
@@ -1,6 +1,6 @@
 #include "src/agent/group-member.h"
 
-#include "src/agent/map-spread.h"
+#include "src/agent/map-distribution.h"
 #include "src/log/logger.h"
 
 #include <algorithm>
@@ -13,19 +13,19 @@
 
 namespace {
 
-constexpr milliseconds busyTick { 10 };
-constexpr milliseconds idleTick { 100 };
+constexpr milliseconds busyTickInterval { 10 };
+constexpr milliseconds idleTickInterval { 100 };
 /// A group that stands for this long is held.
-constexpr milliseconds holdNoticedAfter { 1000 };
+constexpr milliseconds holdTimeout { 1000 };
 /// A held group says so this often.
-constexpr milliseconds holdLoggedEvery { 5000 };
+constexpr milliseconds holdLogInterval { 5000 };
 /// A stepped-down coordinator starts anew after this long, so that two processes that both run rank 0 don't outbid each
 /// other in turn without a pause.
-constexpr milliseconds newCoordinatorAfter { 1000 };
+constexpr milliseconds coordinatorRestartDelay { 1000 };
 /// Three of the coordinator's reads of an idle group.
-constexpr milliseconds silentAfter { 3000 };
+constexpr milliseconds silenceTimeout { 3000 };
 /// Coordinators whose addresses are remembered.
-constexpr std::size_t mostHolders = 16;
+constexpr std::size_t maxCoordinatorAddresses = 16;
 
 } // namespace
 
@@ -36,10 +36,10 @@
     , m_timer(ioContext)
     , m_addresses(m_options.shape.ranks)
 {
-    if (!m_options.first)
+    if (!m_options.initialMap)
         return;
-    m_maps.add(*m_options.first);
-    m_lastTold = m_options.first->version;
+    m_maps.add(*m_options.initialMap);
+    m_lastSentMap = m_options.initialMap->version;
 }
 
 GroupMember::~GroupMember()
@@ -67,8 +67,8 @@
 
 void GroupMember::start()
 {
-    m_stepSeenAt = Clock::now();
-    carryOut(m_agent.start(m_stepSeenAt));
+    m_lastStepAt = Clock::now();
+    execute(m_agent.start(m_lastStepAt));
     if (m_options.rank == RankIndex(0))
         startCoordinator();
     tick();
@@ -88,45 +88,45 @@
         m_addresses[rank.value()] = address;
 }
 
-bool GroupMember::knowsAllAddresses() const
+bool GroupMember::hasAllAddresses() const
 {
     return std::all_of(m_addresses.begin(), m_addresses.end(), [](auto& it) { return it.has_value(); });
 }
 
 void GroupMember::startCoordinator()
 {
-    m_coordinatorDueAt.reset();
+    m_coordinatorRestartAt.reset();
     m_coordinator = Coordinator::create(m_options.coordination).value();
-    if (m_wanted)
-        onCoordinatorEvent(coordination::MapWanted { *m_wanted });
+    if (m_targetMap)
+        onCoordinatorEvent(coordination::MapWanted { *m_targetMap });
     else
         onCoordinatorEvent(coordination::Ticked {});
 }
 
-void GroupMember::onEngine(const rank::Event& event)
+void GroupMember::onEngineEvent(const rank::Event& event)
 {
     if (m_isStopped)
         return;
     auto before = m_agent.status();
     auto effects = m_agent.apply(Clock::now(), event);
     logAdmission(before);
-    carryOut(effects);
+    execute(effects);
 }
 
 void GroupMember::onCoordinatorEvent(const coordination::Event& event)
 {
     if (m_isStopped || !m_coordinator)
         return;
-    carryOut(m_coordinator->apply(Clock::now(), event));
+    execute(m_coordinator->apply(Clock::now(), event));
 }
 
-void GroupMember::carryOut(const rank::Effects& effects)
+void GroupMember::execute(const rank::Effects& effects)
 {
     for (auto& effect : effects)
         std::visit([this](auto& it) { perform(it); }, effect);
 }
 
-void GroupMember::carryOut(const coordination::Effects& effects)
+void GroupMember::execute(const coordination::Effects& effects)
 {
     for (auto& effect : effects)
         std::visit([this](auto& it) { perform(it); }, effect);
@@ -136,24 +136,24 @@
 {
     auto* stage = std::get_if<StageMap>(&effect.order.order);
     if (!stage) {
-        m_hooks.writeEngine(effect.order, nullptr);
+        m_hooks.sendToEngine(effect.order, nullptr);
         return;
     }
     auto* map = m_maps.find(stage->version);
     if (map) {
-        m_hooks.writeEngine(effect.order, map);
+        m_hooks.sendToEngine(effect.order, map);
         return;
     }
     // The content isn't here yet. The engine is read in place of the order; the coordinator repeats the order until the
     // engine shows the map.
     fetchMap(stage->version);
-    m_hooks.writeEngine({ effect.order.id, effect.order.fence, ReadStatus {} }, nullptr);
+    m_hooks.sendToEngine({ effect.order.id, effect.order.fence, ReadStatus {} }, nullptr);
 }
 
 void GroupMember::perform(const rank::SendReport& effect)
 {
-    auto it = m_holders.find(effect.to);
-    if (it != m_holders.end())
+    auto it = m_coordinatorAddresses.find(effect.to);
+    if (it != m_coordinatorAddresses.end())
         m_transport->send(it->second, effect.report);
 }
 
@@ -176,8 +176,8 @@
 void GroupMember::perform(const coordination::ChangeFinished& effect)
 {
     log::write(log::Event::MapChangeFinished, "group={} version={:016x} step={}", m_options.group.value(), effect.point.version.value(), effect.point.step.value());
-    if (m_hooks.onChanged)
-        m_hooks.onChanged(effect.point);
+    if (m_hooks.onMapChanged)
+        m_hooks.onMapChanged(effect.point);
 }
 
 void GroupMember::perform(const coordination::ChangePostponed& effect)
@@ -188,7 +188,7 @@
 void GroupMember::perform(const coordination::SteppedDown& effect)
 {
     log::write(log::Event::CoordinatorSteppedDown, "group={} newer={}", m_options.group.value(), effect.newer.counter);
-    m_coordinatorDueAt = Clock::now() + newCoordinatorAfter;
+    m_coordinatorRestartAt = Clock::now() + coordinatorRestartDelay;
 }
 
 void GroupMember::sendToRank(RankIndex rank, const GroupMessage& message)
@@ -201,52 +201,52 @@
 void GroupMember::onMessage(const GroupTransport::Endpoint& from, const GroupMessage& message)
 {
     if (auto* order = std::get_if<RankOrder>(&message)) {
-        if (m_holders.size() >= mostHolders)
-            m_holders.clear();
-        m_holders[order->fence.holder] = from;
-        onEngine(rank::OrderArrived { *order });
+        if (m_coordinatorAddresses.size() >= maxCoordinatorAddresses)
+            m_coordinatorAddresses.clear();
+        m_coordinatorAddresses[order->fence.holder] = from;
+        onEngineEvent(rank::OrderArrived { *order });
     } else if (auto* report = std::get_if<RankReport>(&message))
         onCoordinatorEvent(coordination::ReportArrived { *report });
     else if (auto* hello = std::get_if<RankHello>(&message))
         onCoordinatorEvent(coordination::HelloArrived { *hello });
-    else if (auto* wanted = std::get_if<MapWantedFrom>(&message)) {
-        if (auto* map = m_maps.find(wanted->version))
-            m_transport->send(from, VersionedMap { wanted->version, *map });
-    } else if (auto* named = std::get_if<VersionedMap>(&message)) {
-        takeMap(*named);
+    else if (auto* request = std::get_if<MapRequest>(&message)) {
+        if (auto* map = m_maps.find(request->version))
+            m_transport->send(from, VersionedMap { request->version, *map });
+    } else if (auto* versioned = std::get_if<VersionedMap>(&message)) {
+        onMap(*versioned);
     } else if (auto* difference = std::get_if<MapDifference>(&message))
-        takeDifference(*difference);
+        onMapDifference(*difference);
     else if (auto* loads = std::get_if<RankLoads>(&message)) {
         if (m_hooks.onLoads)
             m_hooks.onLoads(*loads);
     }
 }
 
-void GroupMember::passOn(const GroupMessage& message)
+void GroupMember::forwardMap(const GroupMessage& message)
 {
-    for (auto rank : receiversOf(m_options.rank, m_options.shape.ranks))
+    for (auto rank : mapReceivers(m_options.rank, m_options.shape.ranks))
         sendToRank(rank, message);
 }
 
-void GroupMember::takeMap(const VersionedMap& named)
+void GroupMember::onMap(const VersionedMap& versioned)
 {
-    if (named.map.shape() != m_options.shape || m_maps.find(named.version))
+    if (versioned.map.shape() != m_options.shape || m_maps.find(versioned.version))
         return;
-    m_maps.add(named);
-    passOn(named);
+    m_maps.add(versioned);
+    forwardMap(versioned);
 }
 
-void GroupMember::takeDifference(const MapDifference& difference)
+void GroupMember::onMapDifference(const MapDifference& difference)
 {
     auto* base = m_maps.find(difference.base);
     // One that is known already was passed on already.
     if (m_maps.find(difference.version))
         return;
     // One that lacks the base can still pass the difference on, to ranks that may have it.
-    passOn(difference);
+    forwardMap(difference);
     if (!base)
         return;
-    if (auto map = applied(*base, difference))
+    if (auto map = applyDifference(*base, difference))
         m_maps.add(*map);
     else
         log::write(log::Event::MapUnreadable, "group={} version={:016x} problem=\"{}\"", m_options.group.value(), difference.version.value(), map.error().message);
@@ -255,28 +255,28 @@
 /// Asks one rank after the other, from rank 0 on: any that holds the map will do, as no version ever names two maps.
 void GroupMember::fetchMap(MapVersion version)
 {
-    sendToRank(RankIndex(m_fetchedFrom), MapWantedFrom { version });
-    m_fetchedFrom = (m_fetchedFrom + 1) % m_options.shape.ranks;
+    sendToRank(RankIndex(m_nextFetchRank), MapRequest { version });
+    m_nextFetchRank = (m_nextFetchRank + 1) % m_options.shape.ranks;
 }
 
-void GroupMember::want(const VersionedMap& named)
+void GroupMember::requestMapChange(const VersionedMap& versioned)
 {
     if (m_isStopped)
         return;
     // Sent ahead of the orders, which name it only: a rank that has it need not ask first. One that lacks the map that the
     // difference is from does ask.
-    auto* base = m_lastTold ? m_maps.find(*m_lastTold) : nullptr;
-    auto message = base ? GroupMessage(differenceBetween({ *m_lastTold, *base }, named)) : GroupMessage(named);
-    passOn(message);
-    m_maps.add(named);
-    m_wanted = named.version;
-    m_lastTold = named.version;
-    onCoordinatorEvent(coordination::MapWanted { named.version });
+    auto* base = m_lastSentMap ? m_maps.find(*m_lastSentMap) : nullptr;
+    auto message = base ? GroupMessage(differenceBetween({ *m_lastSentMap, *base }, versioned)) : GroupMessage(versioned);
+    forwardMap(message);
+    m_maps.add(versioned);
+    m_targetMap = versioned.version;
+    m_lastSentMap = versioned.version;
+    onCoordinatorEvent(coordination::MapWanted { versioned.version });
 }
 
-void GroupMember::withdraw()
+void GroupMember::withdrawMapChange()
 {
-    m_wanted.reset();
+    m_targetMap.reset();
     onCoordinatorEvent(coordination::WishWithdrawn {});
 }
 
@@ -295,14 +295,14 @@
     if (m_isStopped)
         return;
     auto now = Clock::now();
-    onEngine(rank::Ticked {});
-    if (m_coordinatorDueAt && now >= *m_coordinatorDueAt)
+    onEngineEvent(rank::Ticked {});
+    if (m_coordinatorRestartAt && now >= *m_coordinatorRestartAt)
         startCoordinator();
     onCoordinatorEvent(coordination::Ticked {});
     if (m_coordinator)
-        noticeHold(now);
+        checkForHold(now);
     bool isIdle = !m_agent.isWaiting() && (!m_coordinator || m_coordinator->phase() == CoordinatorPhase::Idle);
-    m_timer.expires_at(now + (isIdle ? idleTick : busyTick));
+    m_timer.expires_at(now + (isIdle ? idleTickInterval : busyTickInterval));
     m_timer.async_wait([this](boost::system::error_code ec) {
         if (!ec)
             tick();
@@ -316,19 +316,19 @@
         log::write(log::Event::EngineAdmitted, "group={} rank={} version={:016x}", m_options.group.value(), m_options.rank.value(), status->current.value());
 }
 
-void GroupMember::noticeHold(TimePoint now)
+void GroupMember::checkForHold(TimePoint now)
 {
     auto& status = m_agent.status();
-    auto step = status ? status->entered : m_stepSeen;
+    auto step = status ? status->entered : m_lastStep;
     // Loading beside the steps holds nothing, and rank 0 is not read while other ranks load.
     auto phase = m_coordinator->phase();
     bool mayHold = phase != CoordinatorPhase::Idle && phase != CoordinatorPhase::Staging;
-    if (step != m_stepSeen || !mayHold) {
-        m_stepSeen = step;
-        m_stepSeenAt = now;
+    if (step != m_lastStep || !mayHold) {
+        m_lastStep = step;
+        m_lastStepAt = now;
         return;
     }
-    if (!heldStep(now) || now < m_holdLoggedAt + holdLoggedEvery)
+    if (!heldStep(now) || now < m_holdLoggedAt + holdLogInterval)
         return;
     m_holdLoggedAt = now;
     log::write(log::Event::GroupHeld, "group={} phase={} step={} silent-ranks={}", m_options.group.value(), toString(phase), step.value(), fmt::join(silentRanks(now), ","));
@@ -336,7 +336,7 @@
 
 std::optional<StepNumber> GroupMember::heldStep(TimePoint now) const
 {
-    return now >= m_stepSeenAt + holdNoticedAfter ? std::optional(m_stepSeen) : std::nullopt;
+    return now >= m_lastStepAt + holdTimeout ? std::optional(m_lastStep) : std::nullopt;
 }
 
 std::vector<std::uint32_t> GroupMember::silentRanks(TimePoint now) const
@@ -344,7 +344,7 @@
     std::vector<std::uint32_t> values;
     if (!m_coordinator)
         return values;
-    for (auto rank : m_coordinator->silentRanks(now - silentAfter))
+    for (auto rank : m_coordinator->silentRanks(now - silenceTimeout))
         values.push_back(rank.value());
     return values;
 }
--- a/src/agent/group-member.h
+++ b/src/agent/group-member.h
@@ -34,17 +34,17 @@
         expertmap::Coordinator::Options coordination;
         /// The map that every engine of a new group has, when each agent knows it without being told. The first change is
         /// then told by what differs from it, a third of the bytes of a whole map.
-        std::optional<expertmap::VersionedMap> first;
+        std::optional<expertmap::VersionedMap> initialMap;
     };
 
     struct Hooks {
         /// Write an order to the engine; `map` is the content of the map that a `StageMap` names. The answer comes back
         /// by `onEngine`.
-        std::function<void(const expertmap::EngineOrder& order, const expertmap::ExpertMap* map)> writeEngine;
+        std::function<void(const expertmap::EngineOrder& order, const expertmap::ExpertMap* map)> sendToEngine;
         /// At rank 0: what a rank counted.
         std::function<void(const expertmap::RankLoads& loads)> onLoads;
         /// At rank 0: all ranks run a new map.
-        std::function<void(const expertmap::SwitchPoint& point)> onChanged;
+        std::function<void(const expertmap::SwitchPoint& point)> onMapChanged;
     };
 
     /// Fails with `Unavailable` when the address can't be bound, and as `RankAgent::create` and `Coordinator::create` do.
@@ -55,16 +55,16 @@
     void start();
     void stop();
     void setAddress(RankIndex rank, const GroupTransport::Endpoint& address);
-    bool knowsAllAddresses() const;
+    bool hasAllAddresses() const;
     void addMap(const expertmap::VersionedMap& map) { m_maps.add(map); }
     const expertmap::ExpertMap* findMap(MapVersion version) const { return m_maps.find(version); }
     /// Asks another rank for the content of a map.
     void fetchMap(MapVersion version);
-    void onEngine(const expertmap::rank::Event& event);
+    void onEngineEvent(const expertmap::rank::Event& event);
     /// At rank 0: changes the group to this map. The ranks are sent its content at once.
-    void want(const expertmap::VersionedMap& map);
+    void requestMapChange(const expertmap::VersionedMap& map);
     /// At rank 0: gives the wish up as far as no rank may be armed for it.
-    void withdraw();
+    void withdrawMapChange();
     /// Sends what the engine counted to rank 0.
     void sendLoads(const expertmap::RankLoads& loads);
 
@@ -81,8 +81,8 @@
     GroupMember(boost::asio::io_context& ioContext, Options options, Hooks hooks, expertmap::RankAgent agent);
 
     void startCoordinator();
-    void carryOut(const expertmap::rank::Effects& effects);
-    void carryOut(const expertmap::coordination::Effects& effects);
+    void execute(const expertmap::rank::Effects& effects);
+    void execute(const expertmap::coordination::Effects& effects);
     void perform(const expertmap::rank::WriteEngine& effect);
     void perform(const expertmap::rank::SendReport& effect);
     void perform(const expertmap::rank::SendHello& effect);
@@ -93,14 +93,14 @@
     void perform(const expertmap::coordination::SteppedDown& effect);
     void onMessage(const GroupTransport::Endpoint& from, const GroupMessage& message);
     void onCoordinatorEvent(const expertmap::coordination::Event& event);
-    void takeMap(const expertmap::VersionedMap& named);
-    void takeDifference(const MapDifference& difference);
+    void onMap(const expertmap::VersionedMap& versioned);
+    void onMapDifference(const MapDifference& difference);
     /// Sends a new map on to the ranks that get it from this one.
-    void passOn(const GroupMessage& message);
+    void forwardMap(const GroupMessage& message);
     void sendToRank(RankIndex rank, const GroupMessage& message);
     void tick();
     void logAdmission(const std::optional<expertmap::EngineStatus>& before);
-    void noticeHold(TimePoint now);
+    void checkForHold(TimePoint now);
 
     Options m_options;
     Hooks m_hooks;
@@ -111,20 +111,20 @@
     /// Address of each rank's agent; unset while it is not known.
     std::vector<std::optional<GroupTransport::Endpoint>> m_addresses;
     /// Where the coordinators that gave orders are.
-    std::map<Incarnation, GroupTransport::Endpoint> m_holders;
+    std::map<Incarnation, GroupTransport::Endpoint> m_coordinatorAddresses;
     /// Rank asked last for the content of a map.
-    std::uint32_t m_fetchedFrom { 0 };
+    std::uint32_t m_nextFetchRank { 0 };
     bool m_isStopped { false };
 
     // At rank 0 only.
     std::optional<expertmap::Coordinator> m_coordinator;
-    std::optional<TimePoint> m_coordinatorDueAt;
-    std::optional<MapVersion> m_wanted;
+    std::optional<TimePoint> m_coordinatorRestartAt;
+    std::optional<MapVersion> m_targetMap;
     /// Map that all ranks were told last.
-    std::optional<MapVersion> m_lastTold;
+    std::optional<MapVersion> m_lastSentMap;
     /// Step of rank 0 seen last, and since when the group may be held at it.
-    StepNumber m_stepSeen;
-    TimePoint m_stepSeenAt;
+    StepNumber m_lastStep;
+    TimePoint m_lastStepAt;
     TimePoint m_holdLoggedAt;
 };
 
--- a/src/agent/group-transport.cc
+++ b/src/agent/group-transport.cc
@@ -23,7 +23,7 @@
     void operator()(const expertmap::RankOrder& it) { wire::build(out.initOrder(), it); }
     void operator()(const expertmap::RankReport& it) { wire::build(out.initReport(), it); }
     void operator()(const expertmap::RankHello& it) { wire::build(out.initHello(), it); }
-    void operator()(const MapWantedFrom& it) { out.setMapWanted(it.version.value()); }
+    void operator()(const MapRequest& it) { out.setMapWanted(it.version.value()); }
     void operator()(const expertmap::VersionedMap& it) { wire::build(out.initMap(), it); }
     void operator()(const expertmap::RankLoads& it) { wire::build(out.initLoads(), it); }
     void operator()(const MapDifference& it) { build(out.initDifference(), it); }
@@ -42,7 +42,7 @@
     }
 };
 
-std::optional<GroupMessage> differenceIn(schema::MapDifference::Reader in)
+std::optional<GroupMessage> decodeDifference(schema::MapDifference::Reader in)
 {
     MapDifference difference { MapVersion(in.getBase()), MapVersion(in.getVersion()), {} };
     auto places = in.getPlaces();
@@ -55,30 +55,30 @@
 }
 
 template <typename T>
-std::optional<GroupMessage> messageFrom(Result<T> parsed)
+std::optional<GroupMessage> toGroupMessage(Result<T> parsed)
 {
     if (!parsed)
         return std::nullopt;
     return GroupMessage(std::move(*parsed));
 }
 
-std::optional<GroupMessage> messageIn(schema::GroupMessage::Reader in)
+std::optional<GroupMessage> decodeMessage(schema::GroupMessage::Reader in)
 {
     switch (in.which()) {
     case schema::GroupMessage::ORDER:
-        return messageFrom(wire::parse(in.getOrder()));
+        return toGroupMessage(wire::parse(in.getOrder()));
     case schema::GroupMessage::REPORT:
-        return messageFrom(wire::parse(in.getReport()));
+        return toGroupMessage(wire::parse(in.getReport()));
     case schema::GroupMessage::HELLO:
-        return messageFrom(wire::parse(in.getHello()));
+        return toGroupMessage(wire::parse(in.getHello()));
     case schema::GroupMessage::MAP_WANTED:
-        return MapWantedFrom { MapVersion(in.getMapWanted()) };
+        return MapRequest { MapVersion(in.getMapWanted()) };
     case schema::GroupMessage::MAP:
-        return messageFrom(wire::parse(in.getMap()));
+        return toGroupMessage(wire::parse(in.getMap()));
     case schema::GroupMessage::LOADS:
-        return messageFrom(wire::parse(in.getLoads()));
+        return toGroupMessage(wire::parse(in.getLoads()));
     case schema::GroupMessage::DIFFERENCE:
-        return differenceIn(in.getDifference());
+        return decodeDifference(in.getDifference());
     }
     return std::nullopt;
 }
@@ -89,7 +89,7 @@
     : m_socket(ioContext)
     , m_group(std::move(group))
     , m_handler(std::move(handler))
-    , m_buffer(maxDatagram / sizeof(std::uint64_t) + 1)
+    , m_buffer(maxDatagramBytes / sizeof(std::uint64_t) + 1)
 {
 }
 
@@ -116,7 +116,7 @@
     std::visit(MessageBuilder { root }, message);
     auto words = capnp::messageToFlatArray(builder);
     auto bytes = words.asBytes();
-    if (bytes.size() > maxDatagram)
+    if (bytes.size() > maxDatagramBytes)
         return;
     boost::system::error_code ec;
     m_socket.send_to(asio::buffer(bytes.begin(), bytes.size()), to, 0, ec);
@@ -137,13 +137,13 @@
             return;
         // Other errors tell of an earlier datagram that found no receiver; the socket goes on.
         if (!ec)
-            self->take(size);
+            self->onDatagram(size);
         if (self->m_handler)
             self->receive();
     });
 }
 
-void GroupTransport::take(std::size_t size)
+void GroupTransport::onDatagram(std::size_t size)
 {
     auto message = decode(size);
     if (!message)
@@ -162,7 +162,7 @@
         // Failure: an address changed hands and still gets messages of another group. Its orders speak of other engines.
         if (root.getGroup() != m_group.c_str())
             return std::nullopt;
-        return messageIn(root);
+        return decodeMessage(root);
     } catch (const kj::Exception&) {
         return std::nullopt;
     }
--- a/src/agent/group-transport.h
+++ b/src/agent/group-transport.h
@@ -19,12 +19,12 @@
 namespace swiftloft::agent {
 
 /// Asks for the content of a map.
-struct MapWantedFrom {
+struct MapRequest {
     MapVersion version;
 };
 
 /// What the agents of a rank group tell each other.
-using GroupMessage = std::variant<expertmap::RankOrder, expertmap::RankReport, expertmap::RankHello, MapWantedFrom, expertmap::VersionedMap, expertmap::RankLoads, MapDifference>;
+using GroupMessage = std::variant<expertmap::RankOrder, expertmap::RankReport, expertmap::RankHello, MapRequest, expertmap::VersionedMap, expertmap::RankLoads, MapDifference>;
 
 /// Cap'n Proto datagrams between the agents of a rank group. Belongs to the control thread.
 ///
@@ -36,7 +36,7 @@
     using Handler = std::function<void(const Endpoint& from, const GroupMessage&)>;
 
     /// Payload of a UDP datagram, less room for the envelope. An expert map above it can't be sent.
-    static constexpr std::size_t maxDatagram = 65'000;
+    static constexpr std::size_t maxDatagramBytes = 65'000;
 
     /// Fails with `Unavailable` when `endpoint` can't be bound.
     static Result<std::shared_ptr<GroupTransport>> create(boost::asio::io_context& ioContext, const Endpoint& endpoint, std::string group, Handler handler);
@@ -51,7 +51,7 @@
     GroupTransport(boost::asio::io_context& ioContext, std::string group, Handler handler);
 
     void receive();
-    void take(std::size_t size);
+    void onDatagram(std::size_t size);
     std::optional<GroupMessage> decode(std::size_t size) const;
 
     boost::asio::ip::udp::socket m_socket;
--- a/src/agent/load-planning.cc
+++ b/src/agent/load-collector.cc
@@ -1,4 +1,4 @@
-#include "src/agent/load-planning.h"
+#include "src/agent/load-collector.h"
 
 #include <algorithm>
 
@@ -10,55 +10,55 @@
 
 /// Steps after which a count, told modulo 2^16, may have gone round: the hottest expert of a layer gets up to 1,400 tokens
 /// of one rank in a step.
-constexpr std::uint64_t mostStepsBetween = 40;
+constexpr std::uint64_t maxStepsBetweenReports = 40;
 
 } // namespace
 
-LoadPlanning::LoadPlanning(const MapShape& shape, ReplicaPlanner planner)
+LoadCollector::LoadCollector(const MapShape& shape, ReplicaPlanner planner)
     : m_shape(shape)
     , m_planner(std::move(planner))
     , m_loads(shape.ranks)
-    , m_pending(static_cast<std::size_t>(shape.layers) * shape.experts)
-    , m_hasCounted(shape.ranks)
+    , m_pendingTokens(static_cast<std::size_t>(shape.layers) * shape.experts)
+    , m_hasReported(shape.ranks)
 {
 }
 
-void LoadPlanning::onLoads(const RankLoads& loads)
+void LoadCollector::onLoads(const RankLoads& loads)
 {
     bool hasTokens = !loads.tokens.empty();
-    bool isFit = loads.rank.value() < m_loads.size() && (!hasTokens || loads.tokens.size() == m_pending.size())
+    bool isFit = loads.rank.value() < m_loads.size() && (!hasTokens || loads.tokens.size() == m_pendingTokens.size())
         && loads.held.size() == static_cast<std::size_t>(m_shape.layers) * m_shape.slotsPerRank;
     if (!isFit)
         return;
     auto& last = m_loads[loads.rank.value()];
     // Failure: datagrams overtake each other; an older count taken as newer would add what was counted already.
-    bool isSameLife = last && last->engine == loads.engine;
-    if (isSameLife && loads.step <= last->step)
+    bool isSameIncarnation = last && last->engine == loads.engine;
+    if (isSameIncarnation && loads.step <= last->step)
         return;
     // Failure: after a long silence counts may have gone round, and their differences say nothing.
-    bool isRecent = isSameLife && hasTokens && !last->tokens.empty() && loads.step.value() - last->step.value() <= mostStepsBetween;
-    for (std::size_t n = 0; n < m_pending.size() && isRecent; ++n)
-        m_pending[n] += static_cast<std::uint16_t>(loads.tokens[n] - last->tokens[n]);
+    bool isRecent = isSameIncarnation && hasTokens && !last->tokens.empty() && loads.step.value() - last->step.value() <= maxStepsBetweenReports;
+    for (std::size_t n = 0; n < m_pendingTokens.size() && isRecent; ++n)
+        m_pendingTokens[n] += static_cast<std::uint16_t>(loads.tokens[n] - last->tokens[n]);
     last = loads;
     m_planner.setPace(loads.rank, loads.pace);
-    m_hasCounted[loads.rank.value()] = hasTokens;
+    m_hasReported[loads.rank.value()] = hasTokens;
 }
 
-void LoadPlanning::observe(TimePoint now)
+void LoadCollector::observe(TimePoint now)
 {
     // Failure: the requests of a few ranks ask for other experts than those of all, which would pass for a shift of
     // demand; those of half the ranks that count are alike.
-    auto counted = std::count(m_hasCounted.begin(), m_hasCounted.end(), true);
-    auto counting = std::count_if(m_loads.begin(), m_loads.end(), [](auto& it) { return it && !it->tokens.empty(); });
-    if (2 * counted < counting)
+    auto reportedRanks = std::count(m_hasReported.begin(), m_hasReported.end(), true);
+    auto countingRanks = std::count_if(m_loads.begin(), m_loads.end(), [](auto& it) { return it && !it->tokens.empty(); });
+    if (2 * reportedRanks < countingRanks)
         return;
     // Every value is a sum of counts, so the planner has nothing to refuse.
-    m_planner.observe(now, m_pending);
-    std::fill(m_pending.begin(), m_pending.end(), 0.0);
-    std::fill(m_hasCounted.begin(), m_hasCounted.end(), false);
+    m_planner.observe(now, m_pendingTokens);
+    std::fill(m_pendingTokens.begin(), m_pendingTokens.end(), 0.0);
+    std::fill(m_hasReported.begin(), m_hasReported.end(), false);
 }
 
-std::vector<RankIndex> LoadPlanning::unknownRanks() const
+std::vector<RankIndex> LoadCollector::unknownRanks() const
 {
     auto& first = m_loads[0];
     std::vector<RankIndex> ranks;
@@ -70,7 +70,7 @@
     return ranks;
 }
 
-std::optional<VersionedMap> LoadPlanning::current() const
+std::optional<VersionedMap> LoadCollector::currentMap() const
 {
     if (!unknownRanks().empty())
         return std::nullopt;
--- a/src/agent/map-control.cc
+++ b/src/agent/map-control.cc
@@ -93,14 +93,14 @@
     options.endpoint = { m_options.rpc.address(), m_options.rpc.port() };
     options.coordination.initial = initial->version();
     GroupMember::Hooks hooks;
-    hooks.writeEngine = [this](const EngineOrder& order, const ExpertMap* map) { m_engine->write(order, map); };
+    hooks.sendToEngine = [this](const EngineOrder& order, const ExpertMap* map) { m_engine->write(order, map); };
     m_member = GroupMember::create(m_ioContext, options, std::move(hooks)).value();
     m_member->addMap({ initial->version(), *initial });
     m_groupSettings = settings;
     m_problem.clear();
     EngineOrders::Hooks engineHooks;
-    engineHooks.onAnswered = [this](const rank::EngineAnswered& answered) { m_member->onEngine(answered); };
-    engineHooks.onLost = [this] { m_member->onEngine(rank::EngineLost {}); };
+    engineHooks.onAnswered = [this](const rank::EngineAnswered& answered) { m_member->onEngineEvent(answered); };
+    engineHooks.onLost = [this] { m_member->onEngineEvent(rank::EngineLost {}); };
     m_engine = std::make_unique<EngineOrders>(m_ioContext, m_options.engine, std::move(engineHooks));
     learnAddresses();
     m_member->start();
@@ -129,7 +129,7 @@
     VersionedMap named { planned.map.version(), planned.map };
     log::write(log::Event::MapChangeWanted, "group={} version={:016x} experts={} bytes={}", m_member->options().group.value(), named.version.value(), planned.experts,
         planned.bytes.value());
-    m_member->want(named);
+    m_member->requestMapChange(named);
 }
 
 void MapControl::tick()
--- a/src/agent/map-difference.cc
+++ b/src/agent/map-difference.cc
@@ -16,7 +16,7 @@
     return difference;
 }
 
-Result<VersionedMap> applied(const ExpertMap& base, const MapDifference& difference)
+Result<VersionedMap> applyDifference(const ExpertMap& base, const MapDifference& difference)
 {
     std::vector<ExpertIndex> slots(base.slots().begin(), base.slots().end());
     for (auto& slot : difference.slots) {
--- a/src/agent/map-difference.h
+++ b/src/agent/map-difference.h
@@ -28,6 +28,6 @@
 MapDifference differenceBetween(const expertmap::VersionedMap& base, const expertmap::VersionedMap& next);
 
 /// The map that `difference` tells of. Fails with `MalformedInput` when it does not fit `base`.
-Result<expertmap::VersionedMap> applied(const expertmap::ExpertMap& base, const MapDifference& difference);
+Result<expertmap::VersionedMap> applyDifference(const expertmap::ExpertMap& base, const MapDifference& difference);
 
 } // namespace swiftloft::agent
--- a/src/agent/rank-daemon.cc
+++ b/src/agent/rank-daemon.cc
@@ -26,29 +26,29 @@
 namespace {
 
 /// The engine is read this often: demand shifts every few seconds, and until the map has followed every step is slower.
-constexpr milliseconds lookEvery { 50 };
-constexpr milliseconds answerWithin { 60 };
+constexpr milliseconds pollInterval { 50 };
+constexpr milliseconds responseTimeout { 60 };
 /// Counts sent to rank 0 in a second at most, of two bytes each: what control may send is 25 KB a second.
-constexpr std::uint32_t countsPerSecond = 12000;
+constexpr std::uint32_t maxCountsPerSecond = 12000;
 /// Ranks whose counts rank 0 gets at that rate; all ranks of a group are asked for the same experts, and those of twelve
 /// tell as much. Those of more would fill its link, and orders and reports would wait behind them.
-constexpr std::uint32_t ranksThatCount = 12;
+constexpr std::uint32_t maxCountingRanks = 12;
 /// The others tell only which experts they hold, a tenth of the bytes: when their map has changed, as rank 0 plans when it
 /// knows all, and this often, as datagrams get lost.
-constexpr milliseconds heldToldEvery { 500 };
+constexpr milliseconds heldReportInterval { 500 };
 /// Entries are told of the engine this often while it is well, and when it is slow or its group takes no requests: that
 /// counts for 1.2 s only.
-constexpr milliseconds tellEntriesEvery { 1400 };
-constexpr milliseconds tellDegradedEvery { 400 };
+constexpr milliseconds statusInterval { 1400 };
+constexpr milliseconds degradedStatusInterval { 400 };
 /// A change of pace by this part is told at once.
-constexpr double paceChangeTold { 0.15 };
+constexpr double minPaceChange { 0.15 };
 /// An entry that has sent no brief for this long is not told any more.
-constexpr milliseconds entryFor { 5000 };
+constexpr milliseconds entryLifetime { 5000 };
 /// A rank that loads weights answers when it has them, or after this long: well below the time after which its agent holds
 /// the engine for lost.
-constexpr milliseconds stagedWithin { 120 };
+constexpr milliseconds stagingResponseTimeout { 120 };
 /// Pause between two looks at an engine that loads weights; copies take tens of milliseconds.
-constexpr milliseconds stagedLookEvery { 12 };
+constexpr milliseconds stagingPollInterval { 12 };
 /// Steps between the newest known one and the switch while it is not known how long steps take.
 constexpr std::uint64_t leadSteps = 2;
 /// Time from the choice of the switch step until all ranks are armed: two exchanges with an engine and one between
@@ -58,16 +58,16 @@
 
 /// Orders that rank 0 sends in a second at most while it waits: each is answered, and both ways together they may take a
 /// third of a link of 6 Mbit/s. A link that is full of questions loses the orders.
-constexpr std::uint32_t ordersPerSecond = 600;
+constexpr std::uint32_t maxOrdersPerSecond = 600;
 
 /// The pause between two orders to one rank of a group of this size; `least` in a small one.
-milliseconds pauseBetweenOrders(std::uint32_t ranks, milliseconds least)
+milliseconds orderInterval(std::uint32_t ranks, milliseconds minInterval)
 {
     constexpr std::uint32_t msPerSecond = 1000;
-    return std::max(least, milliseconds(ranks * msPerSecond / ordersPerSecond));
+    return std::max(minInterval, milliseconds(ranks * msPerSecond / maxOrdersPerSecond));
 }
 
-Coordinator::Options coordinationOf(std::uint32_t ranks)
+Coordinator::Options coordinatorOptions(std::uint32_t ranks)
 {
     Coordinator::Options options;
     options.initial = MapVersion(0);
@@ -75,14 +75,14 @@
     options.leadSteps = leadSteps;
     options.maxLeadSteps = maxLeadSteps;
     options.leadTime = leadTime;
-    options.retryAfter = pauseBetweenOrders(ranks, milliseconds(25));
+    options.retryAfter = orderInterval(ranks, milliseconds(25));
     options.idleReadAfter = milliseconds(1000);
-    options.stagePollAfter = pauseBetweenOrders(ranks, milliseconds(20));
+    options.stagePollAfter = orderInterval(ranks, milliseconds(20));
     return options;
 }
 
 /// Experts that a rank copies in `time`; one at least.
-std::uint32_t expertsWithin(milliseconds time, const gateway::EngineTraits& traits)
+std::uint32_t expertsCopiedWithin(milliseconds time, const gateway::EngineTraits& traits)
 {
     constexpr double bitsPerByte = 8;
     constexpr double msPerSecond = 1000;
@@ -93,21 +93,21 @@
 }
 
 /// What a pass lasts that carries next to nothing.
-Clock::duration fixedPassOf(const gateway::EngineTraits& traits)
+Clock::duration basePassTime(const gateway::EngineTraits& traits)
 {
     std::chrono::duration<double, std::milli> pass(traits.stepMs * traits.stepsPerPass);
     return std::chrono::duration_cast<Clock::duration>(pass);
 }
 
 /// True for every rank of a small group, and for one of so many of a large one.
-bool isCounting(RankIndex rank, std::uint32_t ranks)
+bool isCountingRank(RankIndex rank, std::uint32_t ranks)
 {
-    auto stride = (ranks + ranksThatCount - 1) / ranksThatCount;
+    auto stride = (ranks + maxCountingRanks - 1) / maxCountingRanks;
     return rank.value() % stride == 0;
 }
 
 /// The experts that a rank holds, by layer and slot.
-std::vector<ExpertIndex> heldIn(const EngineCounts& counts, const MapShape& shape)
+std::vector<ExpertIndex> heldExperts(const EngineCounts& counts, const MapShape& shape)
 {
     std::vector<ExpertIndex> held(static_cast<std::size_t>(shape.layers) * shape.slotsPerRank, noExpert);
     for (std::size_t layer = 0; layer < counts.experts.size() && layer < shape.layers; ++layer) {
@@ -118,12 +118,12 @@
     return held;
 }
 
-bool isPaceNews(double pace, double told)
+bool hasPaceChanged(double pace, double reported)
 {
-    return std::abs(pace - told) > paceChangeTold * told;
+    return std::abs(pace - reported) > minPaceChange * reported;
 }
 
-std::uint64_t firstFence()
+std::uint64_t initialFence()
 {
     // The agent that ran here before counted from an earlier time.
     auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -139,14 +139,14 @@
     , m_port(m_makePort(ioContext, settings.engine))
     , m_incarnation(incarnation)
     , m_timer(ioContext)
-    , m_pages(ioContext, settings.metrics)
+    , m_statusServer(ioContext, settings.metrics)
     , m_generator(std::random_device {}())
-    , m_lastFence(firstFence())
+    , m_lastFence(initialFence())
 {
-    auto onNews = [this](const gateway::ControlSocket::UdpEndpoint& from, gateway::ControlMessage message) { this->onNews(from, std::move(message)); };
-    m_news = gateway::ControlSocket::create(ioContext, settings.control, onNews).value();
-    m_news->setOnDatagram(gateway::datagramCounter(m_metrics, "swiftloft_agent"));
-    m_pages.add("/metrics", [this] { return process::StatusAnswer { 200, "text/plain; version=0.0.4", m_metrics.text() }; });
+    auto onControlMessage = [this](const gateway::ControlSocket::UdpEndpoint& from, gateway::ControlMessage message) { this->onControlMessage(from, std::move(message)); };
+    m_controlSocket = gateway::ControlSocket::create(ioContext, settings.control, onControlMessage).value();
+    m_controlSocket->setOnDatagram(gateway::datagramCounter(m_metrics, "swiftloft_agent"));
+    m_statusServer.add("/metrics", [this] { return process::StatusAnswer { 200, "text/plain; version=0.0.4", m_metrics.text() }; });
     co_spawn(ioContext, poll(), asio::detached);
 }
 
@@ -154,12 +154,12 @@
 {
     m_isStopped = true;
     m_timer.cancel();
-    endGroup();
-    m_news->stop();
-    m_pages.close();
+    stopMember();
+    m_controlSocket->stop();
+    m_statusServer.close();
 }
 
-void RankDaemon::onNews(const gateway::ControlSocket::UdpEndpoint& from, gateway::ControlMessage message)
+void RankDaemon::onControlMessage(const gateway::ControlSocket::UdpEndpoint& from, gateway::ControlMessage message)
 {
     auto* brief = std::get_if<GroupBrief>(&message);
     if (!brief || m_isStopped)
@@ -167,7 +167,7 @@
     bool isNewEntry = m_entries.insert_or_assign(gateway::Endpoint(from.address(), from.port()), Clock::now()).second;
     // Failure: after a loss of power entries send requests to groups that are still forming, until they hear of them.
     if (isNewEntry)
-        m_tellEntriesAt = Clock::now();
+        m_nextStatusAt = Clock::now();
     bool isOurs = m_view && brief->group == m_view->group && brief->epoch.value() == m_view->epoch;
     if (!isOurs)
         return;
@@ -175,11 +175,11 @@
     if (!m_brief || m_brief->epoch != brief->epoch)
         m_brief = *brief;
     if (m_member)
-        learnAddresses(*brief);
-    beginIfKnown();
+        updateAddresses(*brief);
+    startMemberIfReady();
 }
 
-void RankDaemon::learnAddresses(const GroupBrief& brief)
+void RankDaemon::updateAddresses(const GroupBrief& brief)
 {
     for (auto& rank : brief.ranks) {
         m_member->setAddress(rank.rank, { rank.address.address(), m_settings.group.port() });
@@ -193,15 +193,15 @@
 asio::awaitable<void> RankDaemon::poll()
 {
     while (!m_isStopped) {
-        auto dueAt = Clock::now() + lookEvery;
+        auto dueAt = Clock::now() + pollInterval;
         try {
-            co_await look();
+            co_await pollOnce();
         } catch (const std::exception&) {
             // The engine is down, restarting or its group has ended: nothing is said of it until it answers again.
             if (m_view)
                 log::write(log::Event::EngineSilent, "engine={}:{}", m_settings.engine.address().to_string(), m_settings.engine.port());
             m_view.reset();
-            endGroup();
+            stopMember();
         }
         m_timer.expires_at(dueAt);
         boost::system::error_code ec;
@@ -209,31 +209,31 @@
     }
 }
 
-asio::awaitable<void> RankDaemon::look()
+asio::awaitable<void> RankDaemon::pollOnce()
 {
-    auto view = co_await m_port.read(Clock::now() + answerWithin);
-    onView(view);
+    auto view = co_await m_port.read(Clock::now() + responseTimeout);
+    onEngineView(view);
     auto now = Clock::now();
-    notePace();
-    tellEntries(now);
+    recordPace();
+    sendStatusToEntries(now);
     if (!m_member)
         co_return;
     if (!m_isOrderInProgress) {
         auto engine = m_engine;
         m_isOrderInProgress = true;
         try {
-            co_await engine->mend(view);
+            co_await engine->repair(view);
         } catch (const std::exception&) {
             // Tried again at the next look.
         }
         m_isOrderInProgress = false;
     }
-    co_await tellCounts();
-    if (m_leader && m_member && m_member->coordinator())
-        m_leader->tick(Clock::now(), m_member->coordinator()->phase(), m_view->step, m_view->prepared, m_generator);
+    co_await reportLoads();
+    if (m_mapScheduler && m_member && m_member->coordinator())
+        m_mapScheduler->tick(Clock::now(), m_member->coordinator()->phase(), m_view->step, m_view->prepared, m_generator);
 }
 
-void RankDaemon::onView(const EngineView& view)
+void RankDaemon::onEngineView(const EngineView& view)
 {
     // Failure: the engine starts again under its id and forgets its fences, its counts and its map; what this agent holds
     // of it is of no use, also before the group's new epoch shows. Differences of counts would be wild, and the switch
@@ -243,9 +243,9 @@
     if (isSame)
         return;
     log::write(log::Event::GroupSeen, "group={} epoch={} rank={} ranks={} state={} started={}", view.group.value(), view.epoch, view.rank.value(), view.ranks, view.isOpen ? "open" : "broken", view.startedAt.value());
-    endGroup();
+    stopMember();
     m_brief.reset();
-    m_tellEntriesAt = Clock::now();
+    m_nextStatusAt = Clock::now();
 }
 
 MapShape RankDaemon::shapeOf(const GroupBrief& brief) const
@@ -253,7 +253,7 @@
     return { m_view->ranks, brief.traits.layers, brief.traits.experts, brief.traits.slotsPerRank };
 }
 
-void RankDaemon::beginIfKnown()
+void RankDaemon::startMemberIfReady()
 {
     if (m_member || !m_brief || !m_view || !m_view->isOpen || m_isStopped)
         return;
@@ -264,21 +264,21 @@
     options.incarnation = m_incarnation;
     options.checksFences = true;
     options.endpoint = { m_settings.group.address(), m_settings.group.port() };
-    options.coordination = coordinationOf(m_view->ranks);
+    options.coordination = coordinatorOptions(m_view->ranks);
     if (auto first = ExpertMap::inTurn(options.shape))
-        options.first = VersionedMap { options.coordination.initial, std::move(*first) };
+        options.initialMap = VersionedMap { options.coordination.initial, std::move(*first) };
     GroupMember::Hooks hooks;
-    hooks.writeEngine = [this](const EngineOrder& order, const ExpertMap* map) {
+    hooks.sendToEngine = [this](const EngineOrder& order, const ExpertMap* map) {
         co_spawn(m_ioContext, perform(order, map ? std::optional(*map) : std::nullopt), asio::detached);
     };
     hooks.onLoads = [this](const RankLoads& loads) {
-        if (m_leader)
-            m_leader->onLoads(loads);
+        if (m_mapScheduler)
+            m_mapScheduler->onLoads(loads);
     };
-    hooks.onChanged = [this](const SwitchPoint&) {
+    hooks.onMapChanged = [this](const SwitchPoint&) {
         m_metrics.count("swiftloft_agent_map_changes_total", {});
-        if (m_leader)
-            m_leader->onChanged(Clock::now());
+        if (m_mapScheduler)
+            m_mapScheduler->onMapChanged(Clock::now());
     };
     auto member = GroupMember::create(m_ioContext, options, std::move(hooks));
     if (!member) {
@@ -287,55 +287,55 @@
     }
     m_lastFence += 1;
     m_engine = std::make_shared<RankEngine>(m_port, m_view->rank, m_view->epoch, m_lastFence);
-    m_engine->setOnSentAgain([this] { m_metrics.count("swiftloft_agent_orders_repeated_total", {}); });
+    m_engine->setOnResend([this] { m_metrics.count("swiftloft_agent_orders_repeated_total", {}); });
     m_member = std::move(*member);
-    learnAddresses(*m_brief);
+    updateAddresses(*m_brief);
     if (m_view->rank == RankIndex(0))
-        beginLeading();
+        startMapScheduler();
     m_member->start();
 }
 
-void RankDaemon::beginLeading()
+void RankDaemon::startMapScheduler()
 {
     auto& shape = m_member->options().shape;
-    ReplicaPlanner::Options planning;
-    planning.halfLife = m_settings.loadHalfLife;
-    planning.minGain = m_settings.minGain;
-    planning.newPerRank = expertsWithin(m_settings.maxCopyTime, m_brief->traits);
-    planning.newPerRankAndLayer = std::max(m_brief->traits.spareSlots, 1U);
+    ReplicaPlanner::Options plannerOptions;
+    plannerOptions.halfLife = m_settings.loadHalfLife;
+    plannerOptions.minGain = m_settings.minGain;
+    plannerOptions.newPerRank = expertsCopiedWithin(m_settings.maxCopyTime, m_brief->traits);
+    plannerOptions.newPerRankAndLayer = std::max(m_brief->traits.spareSlots, 1U);
     auto group = m_member->options().group.value();
-    MapLeader::Hooks hooks;
-    hooks.onWanted = [this, group](const VersionedMap& map, const Plan& plan) {
+    MapScheduler::Hooks hooks;
+    hooks.onMapChangeRequested = [this, group](const VersionedMap& map, const Plan& plan) {
         log::write(log::Event::MapChangeWanted, "group={} version={:016x} experts={} gain={:.3f} imbalance={:.2f} planned={:.2f}", group, map.version.value(),
             plan.moves.size(), plan.gain, plan.imbalance, plan.plannedImbalance);
         m_metrics.count("swiftloft_agent_experts_moved_total", {}, static_cast<double>(plan.moves.size()));
-        m_member->want(map);
+        m_member->requestMapChange(map);
     };
-    hooks.onGivenUp = [this, group] {
+    hooks.onMapChangeWithdrawn = [this, group] {
         log::write(log::Event::MapChangeGivenUp, "group={} phase={}", group, toString(m_member->coordinator()->phase()));
-        m_member->withdraw();
+        m_member->withdrawMapChange();
     };
     hooks.onPlanned = [this](const Plan& plan, Clock::duration took) {
         m_metrics.observe("swiftloft_agent_plan_seconds", {}, std::chrono::duration<double>(took).count());
         m_metrics.count("swiftloft_agent_plans_total", { { "outcome", plan.map ? "wanted" : "refused" } });
         m_metrics.set("swiftloft_agent_rank_imbalance", {}, plan.imbalance);
     };
-    hooks.onUnplanned = [group](std::string_view reason, const std::string& detail) {
+    hooks.onNotPlanned = [group](std::string_view reason, const std::string& detail) {
         log::write(log::Event::MapNotPlanned, "group={} reason={} {}", group, reason, detail);
     };
-    m_leader.emplace(LoadPlanning(shape, ReplicaPlanner::create(shape, planning).value()), fixedPassOf(m_brief->traits), m_lastVersion, std::move(hooks));
+    m_mapScheduler.emplace(LoadCollector(shape, ReplicaPlanner::create(shape, plannerOptions).value()), basePassTime(m_brief->traits), m_lastVersion, std::move(hooks));
 }
 
-void RankDaemon::endGroup()
+void RankDaemon::stopMember()
 {
     if (m_engine)
         m_lastFence = m_engine->fence();
-    if (m_leader)
-        m_lastVersion = m_leader->lastVersion();
-    m_leader.reset();
+    if (m_mapScheduler)
+        m_lastVersion = m_mapScheduler->lastVersion();
+    m_mapScheduler.reset();
     m_engine.reset();
-    m_countsToldAt = StepNumber();
-    m_heldTold.reset();
+    m_lastReportedStep = StepNumber();
+    m_lastReportedMap.reset();
     // Its callbacks may be on the stack: it goes when they have returned.
     if (m_member) {
         m_member->stop();
@@ -357,7 +357,7 @@
     try {
         status = co_await engine->perform(order.order, std::move(map));
         if (auto* stage = std::get_if<StageMap>(&order.order))
-            status = co_await staged(engine, stage->version, status);
+            status = co_await awaitStaged(engine, stage->version, status);
     } catch (const std::exception& error) {
         m_metrics.count("swiftloft_agent_orders_lost_total", {});
         log::write(log::Event::EngineOrderLost, "order={} problem=\"{}\"", nameOf(order.order), log::problemOf(error));
@@ -366,17 +366,17 @@
     if (engine != m_engine || !m_member)
         co_return;
     if (status)
-        m_member->onEngine(rank::EngineAnswered { order.id, *status, FencingNumber {} });
+        m_member->onEngineEvent(rank::EngineAnswered { order.id, *status, FencingNumber {} });
     else
-        m_member->onEngine(rank::EngineLost {});
+        m_member->onEngineEvent(rank::EngineLost {});
 }
 
 /// Waits until the engine has loaded the weights of `version`, so that the coordinator hears of it at once and need not ask.
-asio::awaitable<std::optional<EngineStatus>> RankDaemon::staged(std::shared_ptr<RankEngine> engine, MapVersion version, std::optional<EngineStatus> status)
+asio::awaitable<std::optional<EngineStatus>> RankDaemon::awaitStaged(std::shared_ptr<RankEngine> engine, MapVersion version, std::optional<EngineStatus> status)
 {
-    auto until = Clock::now() + stagedWithin;
+    auto until = Clock::now() + stagingResponseTimeout;
     while (status && !status->hasStaged(version) && engine->isPreparing(version) && Clock::now() < until) {
-        asio::steady_timer pause(m_ioContext, Clock::now() + stagedLookEvery);
+        asio::steady_timer pause(m_ioContext, Clock::now() + stagingPollInterval);
         co_await pause.async_wait(asio::use_awaitable);
         status = co_await engine->perform(ReadStatus {}, std::nullopt);
     }
@@ -384,62 +384,62 @@
 }
 
 /// Counts are read at the own engine, where that is free, and sent to rank 0: read from afar they stop the group.
-asio::awaitable<void> RankDaemon::tellCounts()
+asio::awaitable<void> RankDaemon::reportLoads()
 {
     auto now = Clock::now();
     // Also before the first step: what is counted in it then tells at once which experts are in demand.
-    bool isNews = m_view && (m_heldTold != m_view->map || isPaceNews(m_view->pace, m_paceToldLeader));
-    bool isDue = m_view && m_view->step != m_countsToldAt && now >= m_tellCountsAt;
-    if (!m_member || (!isNews && !isDue))
+    bool hasChanged = m_view && (m_lastReportedMap != m_view->map || hasPaceChanged(m_view->pace, m_paceSentToRankZero));
+    bool isDue = m_view && m_view->step != m_lastReportedStep && now >= m_nextLoadReportAt;
+    if (!m_member || (!hasChanged && !isDue))
         co_return;
-    m_countsToldAt = m_view->step;
+    m_lastReportedStep = m_view->step;
     auto shape = m_member->options().shape;
-    bool tellsTokens = isCounting(m_view->rank, shape.ranks);
-    m_tellCountsAt = now + (tellsTokens ? milliseconds(shape.layers * shape.experts * 1000 / countsPerSecond) : heldToldEvery);
-    auto& read = tellsTokens ? m_port.readCounts : m_port.readHeld;
-    auto counts = co_await read(Clock::now() + answerWithin);
+    bool reportsTokens = isCountingRank(m_view->rank, shape.ranks);
+    m_nextLoadReportAt = now + (reportsTokens ? milliseconds(shape.layers * shape.experts * 1000 / maxCountsPerSecond) : heldReportInterval);
+    auto& read = reportsTokens ? m_port.readCounts : m_port.readHeldExperts;
+    auto counts = co_await read(Clock::now() + responseTimeout);
     if (!m_member || !m_view)
         co_return;
-    m_heldTold = counts.map;
-    m_paceToldLeader = m_view->pace;
-    RankLoads loads { m_view->rank, RankEngine::lifeOf(*m_view), m_countsToldAt, counts.map, heldIn(counts, shape), {}, m_view->pace };
-    if (tellsTokens)
+    m_lastReportedMap = counts.map;
+    m_paceSentToRankZero = m_view->pace;
+    RankLoads loads { m_view->rank, RankEngine::incarnationOf(*m_view), m_lastReportedStep, counts.map, heldExperts(counts, shape), {}, m_view->pace };
+    if (reportsTokens)
         std::transform(counts.tokens.begin(), counts.tokens.end(), std::back_inserter(loads.tokens), [](auto count) { return static_cast<std::uint32_t>(count); });
     m_member->sendLoads(loads);
 }
 
-void RankDaemon::notePace()
+void RankDaemon::recordPace()
 {
     m_metrics.set("swiftloft_agent_engine_pace", {}, m_view->pace);
-    if (!isPaceNews(m_view->pace, m_paceLogged))
+    if (!hasPaceChanged(m_view->pace, m_loggedPace))
         return;
-    log::write(log::Event::EnginePaceChanged, "group={} rank={} pace={:.2f} before={:.2f}", m_view->group.value(), m_view->rank.value(), m_view->pace, m_paceLogged);
-    m_paceLogged = m_view->pace;
+    log::write(log::Event::EnginePaceChanged, "group={} rank={} pace={:.2f} before={:.2f}", m_view->group.value(), m_view->rank.value(), m_view->pace, m_loggedPace);
+    m_loggedPace = m_view->pace;
 }
 
-void RankDaemon::tellEntries(TimePoint now)
+void RankDaemon::sendStatusToEntries(TimePoint now)
 {
     if (!m_view)
         return;
     // Failure: an engine turns slow and every step of its group with it. Until the entries hear of it they go on placing
     // work there; told with the next news, they would hear of it after a second, and of its end as late.
-    bool isDue = now >= m_tellEntriesAt || isPaceNews(m_view->pace, m_paceToldEntries);
+    bool isDue = now >= m_nextStatusAt || hasPaceChanged(m_view->pace, m_paceSentToEntries);
     if (!isDue)
         return;
-    bool isWell = m_view->isOpen && m_view->pace < gateway::slowPace;
-    m_tellEntriesAt = now + (isWell ? tellEntriesEvery : tellDegradedEvery);
-    m_paceToldEntries = m_view->pace;
-    RankStatus news { m_settings.engine, m_view->group, gateway::GroupEpoch(m_view->epoch), m_view->rank, m_view->ranks, m_view->isOpen, m_view->pace, m_view->startedAt, m_member && m_member->knowsAllAddresses() };
-    std::erase_if(m_entries, [&](auto& it) { return it.second + entryFor < now; });
-    auto bytes = encode(gateway::ControlMessage(news));
-    for (auto& [address, heardAt] : m_entries)
-        m_news->sendEncoded(address, gateway::ControlMessageKind::Rank, bytes);
+    bool isHealthy = m_view->isOpen && m_view->pace < gateway::slowPace;
+    m_nextStatusAt = now + (isHealthy ? statusInterval : degradedStatusInterval);
+    m_paceSentToEntries = m_view->pace;
+    RankStatus status { m_settings.engine, m_view->group, gateway::GroupEpoch(m_view->epoch), m_view->rank, m_view->ranks, m_view->isOpen, m_view->pace, m_view->startedAt, m_member && m_member->hasAllAddresses() };
+    std::erase_if(m_entries, [&](auto& it) { return it.second + entryLifetime < now; });
+    auto bytes = encode(gateway::ControlMessage(status));
+    for (auto& [address, receivedAt] : m_entries)
+        m_controlSocket->sendEncoded(address, gateway::ControlMessageKind::Rank, bytes);
     // Until an entry has spoken, those of the settings are told: after a loss of power all begin at once, and the group
     // has no map of its own before its ranks know each other.
     if (!m_entries.empty())
         return;
     for (auto& address : m_settings.entries)
-        m_news->sendEncoded(address, gateway::ControlMessageKind::Rank, bytes);
+        m_controlSocket->sendEncoded(address, gateway::ControlMessageKind::Rank, bytes);
 }
 
 void runRankAgent(const gateway::AgentSettings& settings, const EnginePortFactory& makePort, Incarnation incarnation)
--- a/src/agent/rank-daemon.h
+++ b/src/agent/rank-daemon.h
@@ -2,7 +2,7 @@
 
 #include "src/agent/engine-port.h"
 #include "src/agent/group-member.h"
-#include "src/agent/map-leader.h"
+#include "src/agent/map-scheduler.h"
 #include "src/agent/rank-engine.h"
 #include "src/gateway/control-message.h"
 #include "src/gateway/settings.h"
@@ -36,18 +36,18 @@
 
 private:
     boost::asio::awaitable<void> poll();
-    boost::asio::awaitable<void> look();
+    boost::asio::awaitable<void> pollOnce();
     boost::asio::awaitable<void> perform(expertmap::EngineOrder order, std::optional<expertmap::ExpertMap> map);
-    void onNews(const gateway::ControlSocket::UdpEndpoint& from, gateway::ControlMessage message);
-    void onView(const EngineView& view);
-    void beginIfKnown();
-    void endGroup();
-    boost::asio::awaitable<void> tellCounts();
-    void notePace();
-    void tellEntries(TimePoint now);
-    void beginLeading();
-    boost::asio::awaitable<std::optional<expertmap::EngineStatus>> staged(std::shared_ptr<RankEngine> engine, MapVersion version, std::optional<expertmap::EngineStatus> status);
-    void learnAddresses(const gateway::GroupBrief& brief);
+    void onControlMessage(const gateway::ControlSocket::UdpEndpoint& from, gateway::ControlMessage message);
+    void onEngineView(const EngineView& view);
+    void startMemberIfReady();
+    void stopMember();
+    boost::asio::awaitable<void> reportLoads();
+    void recordPace();
+    void sendStatusToEntries(TimePoint now);
+    void startMapScheduler();
+    boost::asio::awaitable<std::optional<expertmap::EngineStatus>> awaitStaged(std::shared_ptr<RankEngine> engine, MapVersion version, std::optional<expertmap::EngineStatus> status);
+    void updateAddresses(const gateway::GroupBrief& brief);
     expertmap::MapShape shapeOf(const gateway::GroupBrief& brief) const;
 
     boost::asio::io_context& m_ioContext;
@@ -57,8 +57,8 @@
     Incarnation m_incarnation;
     boost::asio::steady_timer m_timer;
     process::Metrics m_metrics;
-    process::StatusServer m_pages;
-    std::shared_ptr<gateway::ControlSocket> m_news;
+    process::StatusServer m_statusServer;
+    std::shared_ptr<gateway::ControlSocket> m_controlSocket;
     policy::Generator m_generator;
     bool m_isStopped { false };
 
@@ -66,11 +66,11 @@
     std::optional<gateway::GroupBrief> m_brief;
     /// Entries that sent a brief, and when.
     std::map<gateway::Endpoint, TimePoint> m_entries;
-    TimePoint m_tellEntriesAt;
+    TimePoint m_nextStatusAt;
     /// Pace that was logged last, and that the entries and rank 0 were told last.
-    double m_paceLogged { 1 };
-    double m_paceToldEntries { 1 };
-    double m_paceToldLeader { 1 };
+    double m_loggedPace { 1 };
+    double m_paceSentToEntries { 1 };
+    double m_paceSentToRankZero { 1 };
     std::uint64_t m_lastFence { 0 };
 
     // While the engine's group is open and its members are known.
@@ -78,12 +78,12 @@
     std::shared_ptr<RankEngine> m_engine;
     bool m_isOrderInProgress { false };
     /// Step of the last counts told; they say nothing new before the next.
-    StepNumber m_countsToldAt;
+    StepNumber m_lastReportedStep;
     /// Map whose experts were told last.
-    std::optional<MapVersion> m_heldTold;
-    TimePoint m_tellCountsAt;
+    std::optional<MapVersion> m_lastReportedMap;
+    TimePoint m_nextLoadReportAt;
     /// At rank 0.
-    std::optional<MapLeader> m_leader;
+    std::optional<MapScheduler> m_mapScheduler;
     /// The highest version that this agent has given to a map.
     std::uint64_t m_lastVersion { 0 };
 };
--- a/test/plain-engines.h
+++ b/test/fake-engine-group.h
@@ -15,19 +15,19 @@
 namespace swiftloft::agent::rig {
 
 /// Turns of the rig are steps of simulated time.
-inline constexpr milliseconds turn { 10 };
+inline constexpr milliseconds turnDuration { 10 };
 inline constexpr int turnsPerStep = 6;
 
 struct CommandFaults {
     /// Part of the commands that get no answer and are carried out later.
-    double late { 0 };
-    int leastDelay { 200 };
-    int mostDelay { 1200 };
+    double delayedShare { 0 };
+    int minDelayTurns { 200 };
+    int maxDelayTurns { 1200 };
 };
 
-class PlainGroup {
+class FakeEngineGroup {
 public:
-    PlainGroup(std::uint32_t ranks, bool checksFences, CommandFaults faults, std::uint64_t seed)
+    FakeEngineGroup(std::uint32_t ranks, bool checksFences, CommandFaults faults, std::uint64_t seed)
         : m_checksFences(checksFences)
         , m_faults(faults)
         , m_random(seed)
@@ -39,7 +39,7 @@
     {
         EnginePort port;
         port.read = [this, rank](TimePoint) { return read(rank); };
-        port.command = [this, rank](EngineCommand command, TimePoint) { return take(rank, command); };
+        port.command = [this, rank](EngineCommand command, TimePoint) { return onCommand(rank, command); };
         return port;
     }
 
@@ -47,8 +47,8 @@
     void advance()
     {
         ++m_turn;
-        for (auto it = m_late.begin(); it != m_late.end() && it->first <= m_turn; it = m_late.erase(it))
-            carryOut(it->second.rank, it->second.command);
+        for (auto it = m_delayedCommands.begin(); it != m_delayedCommands.end() && it->first <= m_turn; it = m_delayedCommands.erase(it))
+            execute(it->second.rank, it->second.command);
         for (auto& rank : m_ranks) {
             if (rank.copying && m_turn >= rank.copiedAt) {
                 rank.prepared = rank.copying;
@@ -56,7 +56,7 @@
             }
         }
         if (m_turn % turnsPerStep == 0)
-            step();
+            advanceStep();
     }
 
     /// An engine restarts: the group forms anew, with the first map and nothing armed or held.
@@ -68,13 +68,13 @@
             rank = {};
     }
 
-    TimePoint now() const { return TimePoint(m_turn * turn); }
+    TimePoint now() const { return TimePoint(m_turn * turnDuration); }
     std::uint64_t epoch() const { return m_epoch; }
     std::uint64_t steps() const { return m_step; }
     int mixedSteps() const { return m_mixedSteps; }
     /// Turns at which a step was due and a rank held it.
-    int turnsHeld() const { return m_turnsHeld; }
-    bool allRun(MapVersion version) const
+    int heldTurns() const { return m_heldTurns; }
+    bool allRanksRun(MapVersion version) const
     {
         return std::all_of(m_ranks.begin(), m_ranks.end(), [&](auto& rank) { return rank.map == version; });
     }
@@ -96,7 +96,7 @@
         std::uint64_t fence { 0 };
         MapVersion highest;
     };
-    struct LateCommand {
+    struct DelayedCommand {
         std::uint32_t rank { 0 };
         EngineCommand command;
     };
@@ -114,29 +114,29 @@
         view.step = StepNumber(m_step);
         view.prepared = rank.prepared;
         view.armed = rank.armed;
-        view.heldAt = rank.held;
+        view.heldStep = rank.held;
         co_return view;
     }
 
-    boost::asio::awaitable<CommandEnd> take(std::uint32_t rank, EngineCommand command)
+    boost::asio::awaitable<CommandOutcome> onCommand(std::uint32_t rank, EngineCommand command)
     {
-        if (std::uniform_real_distribution<double>(0, 1)(m_random) < m_faults.late) {
-            std::uniform_int_distribution<int> delay(m_faults.leastDelay, m_faults.mostDelay);
-            m_late.emplace(m_turn + delay(m_random), LateCommand { rank, command });
+        if (std::uniform_real_distribution<double>(0, 1)(m_random) < m_faults.delayedShare) {
+            std::uniform_int_distribution<int> delay(m_faults.minDelayTurns, m_faults.maxDelayTurns);
+            m_delayedCommands.emplace(m_turn + delay(m_random), DelayedCommand { rank, command });
             throw boost::system::system_error(boost::asio::error::timed_out);
         }
-        co_return carryOut(rank, command);
+        co_return execute(rank, command);
     }
 
-    CommandEnd carryOut(std::uint32_t index, const EngineCommand& command)
+    CommandOutcome execute(std::uint32_t index, const EngineCommand& command)
     {
         auto& rank = m_ranks[index];
         if (command.epoch != m_epoch)
-            return CommandEnd::Refused;
+            return CommandOutcome::Refused;
         if (m_checksFences && command.fence < rank.fence)
-            return CommandEnd::Fenced;
+            return CommandOutcome::Fenced;
         rank.fence = std::max(rank.fence, command.fence);
-        return apply(rank, command) ? CommandEnd::Done : CommandEnd::Refused;
+        return apply(rank, command) ? CommandOutcome::Done : CommandOutcome::Refused;
     }
 
     bool apply(Rank& rank, const EngineCommand& command)
@@ -173,11 +173,11 @@
         return false;
     }
 
-    void step()
+    void advanceStep()
     {
         StepNumber next(m_step + 1);
         if (std::any_of(m_ranks.begin(), m_ranks.end(), [&](auto& rank) { return rank.held == next; })) {
-            ++m_turnsHeld;
+            ++m_heldTurns;
             return;
         }
         m_step = next.value();
@@ -188,7 +188,7 @@
                 rank.prepared.reset();
             }
         }
-        if (!allRun(m_ranks[0].map))
+        if (!allRanksRun(m_ranks[0].map))
             ++m_mixedSteps;
     }
 
@@ -196,12 +196,12 @@
     CommandFaults m_faults;
     std::mt19937_64 m_random;
     std::vector<Rank> m_ranks;
-    std::multimap<int, LateCommand> m_late;
+    std::multimap<int, DelayedCommand> m_delayedCommands;
     int m_turn { 0 };
     std::uint64_t m_epoch { 1 };
     std::uint64_t m_step { 0 };
     int m_mixedSteps { 0 };
-    int m_turnsHeld { 0 };
+    int m_heldTurns { 0 };
 };
 
 } // namespace swiftloft::agent::rig
--- a/test/map-difference_test.cc
+++ b/test/map-difference_test.cc
@@ -24,7 +24,7 @@
     auto next = mapOf(5, ExpertIndex(0));
     auto difference = differenceBetween(base, next);
     REQUIRE(difference.slots == std::vector<MapDifference::Slot> { { 5, ExpertIndex(0) } });
-    auto map = applied(base.map, difference);
+    auto map = applyDifference(base.map, difference);
     REQUIRE(map.has_value());
     CHECK(map->version == next.version);
     CHECK(std::equal(map->map.slots().begin(), map->map.slots().end(), next.map.slots().begin(), next.map.slots().end()));
@@ -35,7 +35,7 @@
 TEST_CASE("MapDifference: one that does not fit its map is refused")
 {
     auto base = mapOf(4, noExpert);
-    CHECK_FALSE(applied(base.map, { base.version, MapVersion(5), { { 6, ExpertIndex(0) } } }).has_value());
-    CHECK_FALSE(applied(base.map, { base.version, MapVersion(5), { { 0, ExpertIndex(1) } } }).has_value());
-    CHECK_FALSE(applied(base.map, { base.version, MapVersion(5), { { 0, ExpertIndex(4) } } }).has_value());
+    CHECK_FALSE(applyDifference(base.map, { base.version, MapVersion(5), { { 6, ExpertIndex(0) } } }).has_value());
+    CHECK_FALSE(applyDifference(base.map, { base.version, MapVersion(5), { { 0, ExpertIndex(1) } } }).has_value());
+    CHECK_FALSE(applyDifference(base.map, { base.version, MapVersion(5), { { 0, ExpertIndex(4) } } }).has_value());
 }
--- a/test/map-spread_test.cc
+++ b/test/map-distribution_test.cc
@@ -1,4 +1,4 @@
-#include "src/agent/map-spread.h"
+#include "src/agent/map-distribution.h"
 
 #include <catch2/catch.hpp>
 
@@ -15,7 +15,7 @@
         std::vector<int> received(ranks);
         std::size_t most = 0;
         for (std::uint32_t rank = 0; rank < ranks; ++rank) {
-            auto receivers = receiversOf(RankIndex(rank), ranks);
+            auto receivers = mapReceivers(RankIndex(rank), ranks);
             most = std::max(most, receivers.size());
             for (auto it : receivers)
                 ++received[it.value()];
@@ -23,8 +23,8 @@
         INFO(ranks << " ranks, one sends " << most);
         CHECK(received[0] == 0);
         CHECK(std::all_of(received.begin() + 1, received.end(), [](int n) { return n == 1; }));
-        CHECK(most <= mostToldDirectly);
+        CHECK(most <= maxDirectReceivers);
         if (ranks == 64)
-            CHECK(most == ranksThatPassOn);
+            CHECK(most == relayRankCount);
     }
 }
--- a/test/map-leader_test.cc
+++ b/test/map-scheduler_test.cc
@@ -1,4 +1,4 @@
-#include "src/agent/map-leader.h"
+#include "src/agent/map-scheduler.h"
 
 #include <catch2/catch.hpp>
 
@@ -12,7 +12,7 @@
 
 const MapShape shape { 2, 1, 4, 3 };
 const TimePoint start { seconds(100) };
-constexpr milliseconds fixedPass { 35 };
+constexpr milliseconds basePassTime { 35 };
 
 /// A group of two ranks with two experts each and a spare slot. What they counted goes up by `demand` with each report.
 struct Rig {
@@ -21,12 +21,12 @@
         ReplicaPlanner::Options options;
         options.minTokens = 1;
         options.minGain = 0.15;
-        MapLeader::Hooks hooks;
-        hooks.onWanted = [this](auto& map, auto&) { wanted.push_back(map); };
-        hooks.onGivenUp = [this] { ++givenUp; };
+        MapScheduler::Hooks hooks;
+        hooks.onMapChangeRequested = [this](auto& map, auto&) { requestedMaps.push_back(map); };
+        hooks.onMapChangeWithdrawn = [this] { ++withdrawals; };
         hooks.onPlanned = [this](auto&, auto) { ++plans; };
-        hooks.onUnplanned = [this](auto reason, auto& detail) { said.push_back(std::string(reason) + " " + detail); };
-        leader.emplace(LoadPlanning(shape, ReplicaPlanner::create(shape, options).value()), fixedPass, 0, std::move(hooks));
+        hooks.onNotPlanned = [this](auto reason, auto& detail) { reasons.push_back(std::string(reason) + " " + detail); };
+        scheduler.emplace(LoadCollector(shape, ReplicaPlanner::create(shape, options).value()), basePassTime, 0, std::move(hooks));
     }
 
     void report(std::vector<std::uint32_t> demand)
@@ -37,13 +37,13 @@
         for (std::uint32_t rank = 0; rank < 2; ++rank) {
             RankLoads loads { RankIndex(rank), Incarnation(1), StepNumber(step), MapVersion(0), {}, counted };
             loads.held = rank == 0 ? std::vector { ExpertIndex(0), ExpertIndex(2), noExpert } : std::vector { ExpertIndex(1), ExpertIndex(3), noExpert };
-            leader->onLoads(loads);
+            scheduler->onLoads(loads);
         }
     }
-    void tick(milliseconds pass, CoordinatorPhase phase = CoordinatorPhase::Idle)
+    void tick(milliseconds elapsed, CoordinatorPhase phase = CoordinatorPhase::Idle)
     {
-        now += pass;
-        leader->tick(now, phase, StepNumber(engineStep), std::nullopt, generator);
+        now += elapsed;
+        scheduler->tick(now, phase, StepNumber(engineStep), std::nullopt, generator);
     }
 
     TimePoint now { start };
@@ -52,11 +52,11 @@
     /// Begun last by the engine of rank 0.
     std::uint64_t engineStep { 0 };
     policy::Generator generator { 3 };
-    std::optional<MapLeader> leader;
-    std::vector<VersionedMap> wanted;
-    int givenUp { 0 };
+    std::optional<MapScheduler> scheduler;
+    std::vector<VersionedMap> requestedMaps;
+    int withdrawals { 0 };
     int plans { 0 };
-    std::vector<std::string> said;
+    std::vector<std::string> reasons;
 };
 
 const std::vector<std::uint32_t> even { 100, 100, 100, 100 };
@@ -64,100 +64,100 @@
 
 } // namespace
 
-TEST_CASE("MapLeader: a map is wanted where ranks are uneven, and one at a time")
+TEST_CASE("MapScheduler: a map is wanted where ranks are uneven, and one at a time")
 {
     Rig rig;
     rig.report(uneven);
     rig.report(uneven);
     rig.tick(milliseconds(50));
-    REQUIRE(rig.wanted.size() == 1);
+    REQUIRE(rig.requestedMaps.size() == 1);
     rig.tick(milliseconds(50), CoordinatorPhase::Staging);
     rig.tick(milliseconds(50));
-    CHECK(rig.wanted.size() == 1);
-    rig.leader->onChanged(rig.now);
-    rig.tick(MapLeader::planPause - milliseconds(1));
-    CHECK(rig.wanted.size() == 1);
+    CHECK(rig.requestedMaps.size() == 1);
+    rig.scheduler->onMapChanged(rig.now);
+    rig.tick(MapScheduler::postChangeDelay - milliseconds(1));
+    CHECK(rig.requestedMaps.size() == 1);
     rig.tick(milliseconds(1));
-    REQUIRE(rig.wanted.size() == 2);
-    CHECK(rig.wanted[1].version > rig.wanted[0].version);
+    REQUIRE(rig.requestedMaps.size() == 2);
+    CHECK(rig.requestedMaps[1].version > rig.requestedMaps[0].version);
 }
 
 // A rank can't load the weights of a map. Wanted for ever, it would keep the group from following the next shift.
-TEST_CASE("MapLeader: a map that does not come about is given up")
+TEST_CASE("MapScheduler: a map that does not come about is given up")
 {
     Rig rig;
     rig.report(uneven);
     rig.report(uneven);
     rig.tick(milliseconds(50));
-    rig.tick(MapLeader::wishFor - milliseconds(1), CoordinatorPhase::Staging);
-    CHECK(rig.givenUp == 0);
+    rig.tick(MapScheduler::changeTimeout - milliseconds(1), CoordinatorPhase::Staging);
+    CHECK(rig.withdrawals == 0);
     rig.tick(milliseconds(1), CoordinatorPhase::Staging);
-    CHECK(rig.givenUp == 1);
+    CHECK(rig.withdrawals == 1);
 }
 
 // A plan took a quarter of a second on a slot of 0.15 cores and was sought again at every look, on the thread that reads the
 // engine: reads timed out, and counts of the next demand came late.
-TEST_CASE("MapLeader: a refused plan is not sought again until a while later, or until demand shifts")
+TEST_CASE("MapScheduler: a refused plan is not sought again until a while later, or until demand shifts")
 {
     Rig rig;
     for (int n = 0; n < 20; ++n) {
         rig.report(even);
         rig.tick(milliseconds(10));
     }
-    CHECK(rig.wanted.empty());
+    CHECK(rig.requestedMaps.empty());
     CHECK(rig.plans == 1);
-    REQUIRE(rig.said.size() == 1);
-    CHECK(rig.said[0] == "demand-unknown imbalance=0.00 gain=0.000");
+    REQUIRE(rig.reasons.size() == 1);
+    CHECK(rig.reasons[0] == "demand-unknown imbalance=0.00 gain=0.000");
     rig.report(uneven);
     rig.tick(milliseconds(10));
     rig.report(uneven);
-    rig.tick(MapLeader::settleFor);
+    rig.tick(MapScheduler::settleTime);
     CHECK(rig.plans == 2);
-    CHECK(rig.wanted.size() == 1);
+    CHECK(rig.requestedMaps.size() == 1);
 }
 
-TEST_CASE("MapLeader: ranks whose map is not known are named")
+TEST_CASE("MapScheduler: ranks whose map is not known are named")
 {
     Rig rig;
     rig.tick(milliseconds(50));
-    REQUIRE(rig.said.size() == 1);
-    CHECK(rig.said[0] == "ranks-unknown ranks=0,1");
-    rig.tick(MapLeader::unplannedSaidEvery - milliseconds(1));
-    CHECK(rig.said.size() == 1);
+    REQUIRE(rig.reasons.size() == 1);
+    CHECK(rig.reasons[0] == "ranks-unknown ranks=0,1");
+    rig.tick(MapScheduler::unplannedLogInterval - milliseconds(1));
+    CHECK(rig.reasons.size() == 1);
 }
 
 // A group forms anew after a loss of power, with the map that suits no demand, and every stream of it is late until the first
 // change. Rank 0 looks before its ranks have counted anything, finds nothing to plan, and looks again a quarter of a second
 // later.
-TEST_CASE("MapLeader: plans as soon as demand is known")
+TEST_CASE("MapScheduler: plans as soon as demand is known")
 {
     Rig rig;
     rig.report(uneven);
     rig.tick(milliseconds(50));
-    CHECK(rig.wanted.empty());
+    CHECK(rig.requestedMaps.empty());
     rig.report(uneven);
     rig.tick(milliseconds(50));
-    CHECK(rig.wanted.size() == 1);
+    CHECK(rig.requestedMaps.size() == 1);
 }
 
 // Hundreds of groups share the work of a few. Each copies experts with every shift of demand, and nobody is served sooner: a
 // pass that carries little lasts as long with any map. The same unevenness in a busy group makes all of its streams late.
-TEST_CASE("MapLeader: a group with little work leaves its map alone, and a busy one changes it")
+TEST_CASE("MapScheduler: a group with little work leaves its map alone, and a busy one changes it")
 {
-    auto wantedWithPassesOf = [](milliseconds pass) {
+    auto requestsWithPassTime = [](milliseconds passTime) {
         Rig rig;
         rig.report(even);
         for (int n = 0; n < 12; ++n) {
             ++rig.engineStep;
-            rig.tick(pass);
+            rig.tick(passTime);
         }
-        rig.wanted.clear();
+        rig.requestedMaps.clear();
         rig.report(uneven);
         rig.report(uneven);
         rig.tick(milliseconds(300));
         rig.tick(milliseconds(300));
-        return rig.wanted.size();
+        return rig.requestedMaps.size();
     };
-    CHECK(wantedWithPassesOf(fixedPass + milliseconds(3)) == 0);
-    CHECK(wantedWithPassesOf(4 * fixedPass) == 1);
+    CHECK(requestsWithPassTime(basePassTime + milliseconds(3)) == 0);
+    CHECK(requestsWithPassTime(4 * basePassTime) == 1);
 }
--- a/test/pass-time_test.cc
+++ b/test/pass-time-estimator_test.cc
@@ -1,4 +1,4 @@
-#include "src/agent/pass-time.h"
+#include "src/agent/pass-time-estimator.h"
 
 #include <catch2/catch.hpp>
 
@@ -11,9 +11,9 @@
 
 } // namespace
 
-TEST_CASE("PassTime: the shortest of late, so that waiting for work does not count")
+TEST_CASE("PassTimeEstimator: the shortest of late, so that waiting for work does not count")
 {
-    PassTime passes;
+    PassTimeEstimator passes;
     CHECK_FALSE(passes.shortest().has_value());
     auto now = start;
     std::uint64_t step = 0;
@@ -37,10 +37,10 @@
     CHECK(passes.shortest() == milliseconds(100));
 }
 
-TEST_CASE("PassTime: the part of a pass that depends on its load")
+TEST_CASE("PassTimeEstimator: the part of a pass that depends on its load")
 {
-    CHECK(loadShareOf(std::nullopt, milliseconds(35)) == 1);
-    CHECK(loadShareOf(milliseconds(70), milliseconds(35)) == Approx(0.5));
-    CHECK(loadShareOf(milliseconds(30), milliseconds(35)) == 0);
-    CHECK(loadShareOf(milliseconds(30), milliseconds(0)) == 1);
+    CHECK(loadDependentShare(std::nullopt, milliseconds(35)) == 1);
+    CHECK(loadDependentShare(milliseconds(70), milliseconds(35)) == Approx(0.5));
+    CHECK(loadDependentShare(milliseconds(30), milliseconds(35)) == 0);
+    CHECK(loadDependentShare(milliseconds(30), milliseconds(0)) == 1);
 }
--- a/test/rank-engine_test.cc
+++ b/test/rank-engine_test.cc
@@ -1,5 +1,5 @@
 #include "src/agent/rank-engine.h"
-#include "test/plain-engines.h"
+#include "test/fake-engine-group.h"
 
 #include <swiftloft/expertmap/coordinator.h>
 
@@ -13,7 +13,7 @@
 using namespace swiftloft;
 using namespace swiftloft::agent;
 using namespace swiftloft::expertmap;
-using rig::PlainGroup;
+using rig::FakeEngineGroup;
 
 namespace {
 
@@ -25,7 +25,7 @@
         bool checksFences { true };
         rig::CommandFaults commands;
         double loss { 0 };
-        int mostDelay { 2 };
+        int maxDelayTurns { 2 };
         std::uint64_t seed { 1 };
     };
 
@@ -55,9 +55,9 @@
             agent->coordinator = Coordinator::create(options).value();
         }
         m_agents[r] = std::move(agent);
-        carryOut(r, m_agents[r]->agent.start(m_group.now()));
-        if (r == 0 && m_wanted)
-            want(*m_wanted);
+        execute(r, m_agents[r]->agent.start(m_group.now()));
+        if (r == 0 && m_requestedMap)
+            requestMap(*m_requestedMap);
     }
 
     /// The process ends; what it had sent goes on.
@@ -70,16 +70,16 @@
     void restartGroup()
     {
         m_group.restart();
-        m_wanted.reset();
+        m_requestedMap.reset();
         for (std::uint32_t r = 0; r < m_options.ranks; ++r)
             startAgent(r);
     }
 
-    void want(MapVersion version)
+    void requestMap(MapVersion version)
     {
-        m_wanted = version;
+        m_requestedMap = version;
         if (m_agents[0])
-            carryOut(m_agents[0]->coordinator->apply(m_group.now(), coordination::MapWanted { version }));
+            execute(m_agents[0]->coordinator->apply(m_group.now(), coordination::MapWanted { version }));
     }
 
     void run(int turns)
@@ -93,8 +93,8 @@
         }
     }
 
-    const Coordinator& leader() const { return *m_agents[0]->coordinator; }
-    PlainGroup& group() { return m_group; }
+    const Coordinator& coordinator() const { return *m_agents[0]->coordinator; }
+    FakeEngineGroup& group() { return m_group; }
     std::mt19937_64& random() { return m_random; }
 
 private:
@@ -106,7 +106,7 @@
         std::unique_ptr<RankEngine> engine;
         Incarnation incarnation;
         int frozenUntil { 0 };
-        std::vector<std::function<void()>> whileFrozen;
+        std::vector<std::function<void()>> deferredDeliveries;
     };
 
     bool isFrozen(std::uint32_t r) const { return m_agents[r] && m_agents[r]->frozenUntil > m_turn; }
@@ -115,7 +115,7 @@
     {
         if (std::uniform_real_distribution<double>(0, 1)(m_random) < m_options.loss)
             return;
-        m_network.emplace(m_turn + std::uniform_int_distribution<int>(0, m_options.mostDelay)(m_random), std::pair(to, message));
+        m_network.emplace(m_turn + std::uniform_int_distribution<int>(0, m_options.maxDelayTurns)(m_random), std::pair(to, message));
     }
 
     void deliver()
@@ -123,11 +123,11 @@
         while (!m_network.empty() && m_network.begin()->first <= m_turn) {
             auto [to, message] = m_network.begin()->second;
             m_network.erase(m_network.begin());
-            auto act = [this, to = to, message = message] { receive(to, message); };
+            auto deliverMessage = [this, to = to, message = message] { receive(to, message); };
             if (isFrozen(to))
-                m_agents[to]->whileFrozen.push_back(act);
+                m_agents[to]->deferredDeliveries.push_back(deliverMessage);
             else
-                act();
+                deliverMessage();
         }
     }
 
@@ -137,41 +137,41 @@
             return;
         auto& agent = *m_agents[to];
         if (auto* order = std::get_if<RankOrder>(&message))
-            carryOut(to, agent.agent.apply(m_group.now(), rank::OrderArrived { *order }));
+            execute(to, agent.agent.apply(m_group.now(), rank::OrderArrived { *order }));
         else if (!agent.coordinator)
             return;
         else if (auto* report = std::get_if<RankReport>(&message))
-            carryOut(agent.coordinator->apply(m_group.now(), coordination::ReportArrived { *report }));
+            execute(agent.coordinator->apply(m_group.now(), coordination::ReportArrived { *report }));
         else
-            carryOut(agent.coordinator->apply(m_group.now(), coordination::HelloArrived { std::get<RankHello>(message) }));
+            execute(agent.coordinator->apply(m_group.now(), coordination::HelloArrived { std::get<RankHello>(message) }));
     }
 
     void tick(std::uint32_t r)
     {
         if (!m_agents[r] || isFrozen(r))
             return;
-        for (auto& act : std::exchange(m_agents[r]->whileFrozen, {}))
-            act();
-        carryOut(r, m_agents[r]->agent.apply(m_group.now(), rank::Ticked {}));
+        for (auto& deliverMessage : std::exchange(m_agents[r]->deferredDeliveries, {}))
+            deliverMessage();
+        execute(r, m_agents[r]->agent.apply(m_group.now(), rank::Ticked {}));
         if (m_turn % 10 == 0)
-            mend(r);
+            repair(r);
         if (m_agents[r]->coordinator)
-            carryOut(m_agents[r]->coordinator->apply(m_group.now(), coordination::Ticked {}));
+            execute(m_agents[r]->coordinator->apply(m_group.now(), coordination::Ticked {}));
     }
 
-    void mend(std::uint32_t r)
+    void repair(std::uint32_t r)
     {
         auto& agent = *m_agents[r];
         auto work = [](Agent& it) -> boost::asio::awaitable<void> {
             auto view = co_await it.port.read(TimePoint());
-            co_await it.engine->mend(view);
+            co_await it.engine->repair(view);
         };
         // A lost answer is tried again at the next look.
         boost::asio::co_spawn(m_ioContext, work(agent), [](const std::exception_ptr&) {});
         runAll();
     }
 
-    void carryOut(std::uint32_t r, const rank::Effects& effects)
+    void execute(std::uint32_t r, const rank::Effects& effects)
     {
         for (auto& effect : effects) {
             if (auto* write = std::get_if<rank::WriteEngine>(&effect))
@@ -183,7 +183,7 @@
         }
     }
 
-    void carryOut(const coordination::Effects& effects)
+    void execute(const coordination::Effects& effects)
     {
         for (auto& effect : effects) {
             if (auto* order = std::get_if<coordination::SendOrder>(&effect))
@@ -200,9 +200,9 @@
                 return;
             auto& agent = m_agents[r]->agent;
             if (error)
-                carryOut(r, agent.apply(m_group.now(), rank::EngineLost {}));
+                execute(r, agent.apply(m_group.now(), rank::EngineLost {}));
             else
-                carryOut(r, agent.apply(m_group.now(), rank::EngineAnswered { id, status, FencingNumber {} }));
+                execute(r, agent.apply(m_group.now(), rank::EngineAnswered { id, status, FencingNumber {} }));
         };
         boost::asio::co_spawn(m_ioContext, m_agents[r]->engine->perform(order.order, map), onDone);
         runAll();
@@ -218,19 +218,19 @@
     }
 
     Options m_options;
-    PlainGroup m_group;
+    FakeEngineGroup m_group;
     std::mt19937_64 m_random;
     boost::asio::io_context m_ioContext;
     bool m_isRunning { false };
     std::vector<std::unique_ptr<Agent>> m_agents;
     std::multimap<int, std::pair<std::uint32_t, Message>> m_network;
     std::uint64_t m_lastIncarnation { 0 };
-    std::optional<MapVersion> m_wanted;
+    std::optional<MapVersion> m_requestedMap;
     int m_turn { 0 };
 };
 
-constexpr int turnsForChange = 400;
-constexpr int turnsToSettle = 3000;
+constexpr int changeTurns = 400;
+constexpr int settleTurns = 3000;
 
 } // namespace
 
@@ -238,14 +238,14 @@
 {
     Fleet fleet({});
     fleet.run(20);
-    fleet.want(MapVersion(4100));
-    fleet.run(turnsForChange);
-    CHECK(fleet.group().allRun(MapVersion(4100)));
+    fleet.requestMap(MapVersion(4100));
+    fleet.run(changeTurns);
+    CHECK(fleet.group().allRanksRun(MapVersion(4100)));
     CHECK(fleet.group().mixedSteps() == 0);
     CHECK_FALSE(fleet.group().isHeld());
-    fleet.want(MapVersion(8200));
-    fleet.run(turnsForChange);
-    CHECK(fleet.group().allRun(MapVersion(8200)));
+    fleet.requestMap(MapVersion(8200));
+    fleet.run(changeTurns);
+    CHECK(fleet.group().allRanksRun(MapVersion(8200)));
     CHECK(fleet.group().mixedSteps() == 0);
 }
 
@@ -255,19 +255,19 @@
 {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         Fleet::Options options;
-        options.commands.late = 0.35;
+        options.commands.delayedShare = 0.35;
         options.loss = 0.05;
         options.seed = seed;
         options.checksFences = seed % 3 != 0;
         Fleet fleet(options);
         for (std::uint64_t change = 1; change <= 3; ++change) {
-            fleet.want(MapVersion(4096 * change + seed));
-            fleet.run(turnsForChange);
+            fleet.requestMap(MapVersion(4096 * change + seed));
+            fleet.run(changeTurns);
         }
         INFO("seed " << seed);
         CHECK(fleet.group().mixedSteps() == 0);
         auto before = fleet.group().steps();
-        fleet.run(turnsToSettle);
+        fleet.run(settleTurns);
         CHECK(fleet.group().steps() > before + 100);
     }
 }
@@ -282,17 +282,17 @@
     for (std::uint64_t seed = 1; seed <= fleets; ++seed) {
         Fleet::Options options;
         options.ranks = 8;
-        options.commands.late = 0.35;
+        options.commands.delayedShare = 0.35;
         options.seed = seed;
         Fleet fleet(options);
         fleet.run(20);
-        auto before = fleet.group().turnsHeld();
-        MapVersion wanted(4096 + seed);
-        fleet.want(wanted);
-        for (int n = 0; n < turnsForChange && !fleet.group().allRun(wanted); ++n)
+        auto before = fleet.group().heldTurns();
+        MapVersion target(4096 + seed);
+        fleet.requestMap(target);
+        for (int n = 0; n < changeTurns && !fleet.group().allRanksRun(target); ++n)
             fleet.run(1);
-        held += fleet.group().turnsHeld() - before;
-        finished += fleet.group().allRun(wanted);
+        held += fleet.group().heldTurns() - before;
+        finished += fleet.group().allRanksRun(target);
         CHECK(fleet.group().mixedSteps() == 0);
     }
     CHECK(finished == fleets);
@@ -307,9 +307,9 @@
 {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         Fleet::Options options;
-        options.commands.late = 0.2;
+        options.commands.delayedShare = 0.2;
         options.loss = 0.1;
-        options.mostDelay = 6;
+        options.maxDelayTurns = 6;
         options.seed = seed;
         Fleet fleet(options);
         auto& random = fleet.random();
@@ -329,14 +329,14 @@
                 fleet.restartGroup();
                 break;
             default:
-                fleet.want(MapVersion(version += 4096 + random() % 4096));
+                fleet.requestMap(MapVersion(version += 4096 + random() % 4096));
             }
             fleet.run(static_cast<int>(random() % 150));
         }
         INFO("seed " << seed);
         CHECK(fleet.group().mixedSteps() == 0);
         auto before = fleet.group().steps();
-        fleet.run(turnsToSettle);
+        fleet.run(settleTurns);
         CHECK(fleet.group().steps() > before + 100);
     }
 }
@@ -346,7 +346,7 @@
 // group, and nobody else can reach it. (Before rank 0 knows, nobody can tell whether that rank is about to switch.)
 TEST_CASE("Rank engine: a machine of another rank that stands still during a change does not stop the group")
 {
-    constexpr int turnsOfSecond = 1000 / static_cast<int>(rig::turn.count());
+    constexpr int turnsOfSecond = 1000 / static_cast<int>(rig::turnDuration.count());
     constexpr int frozenTurns = 4 * turnsOfSecond;
     constexpr int groups = 60;
     for (std::uint32_t ranks : { 8U, 24U, 72U }) {
@@ -356,19 +356,19 @@
             options.seed = 1 + static_cast<std::uint64_t>(n);
             Fleet fleet(options);
             fleet.run(20);
-            fleet.want(MapVersion(4100));
+            fleet.requestMap(MapVersion(4100));
             RankIndex rank(1 + static_cast<std::uint32_t>(fleet.random()() % (ranks - 1)));
-            for (int turns = 0; turns < turnsForChange && !fleet.leader().isKnownArmed(rank); ++turns)
+            for (int turns = 0; turns < changeTurns && !fleet.coordinator().isKnownArmed(rank); ++turns)
                 fleet.run(1);
-            REQUIRE(fleet.leader().isKnownArmed(rank));
-            auto before = fleet.group().turnsHeld();
+            REQUIRE(fleet.coordinator().isKnownArmed(rank));
+            auto before = fleet.group().heldTurns();
             fleet.freeze(rank.value(), frozenTurns);
             fleet.run(frozenTurns);
-            INFO(ranks << " ranks, rank " << rank.value() << " stands still, seed " << options.seed << ": steps held " << fleet.group().turnsHeld() - before);
-            CHECK(fleet.group().turnsHeld() - before <= turnsOfSecond / rig::turnsPerStep);
-            fleet.run(turnsForChange);
+            INFO(ranks << " ranks, rank " << rank.value() << " stands still, seed " << options.seed << ": steps held " << fleet.group().heldTurns() - before);
+            CHECK(fleet.group().heldTurns() - before <= turnsOfSecond / rig::turnsPerStep);
+            fleet.run(changeTurns);
             CHECK(fleet.group().mixedSteps() == 0);
-            CHECK(fleet.group().allRun(MapVersion(4100)));
+            CHECK(fleet.group().allRanksRun(MapVersion(4100)));
         }
     }
 }
@@ -381,14 +381,14 @@
         Fleet::Options options;
         options.ranks = std::array { 8U, 24U, 72U }[seed % 3];
         options.checksFences = seed % 2 != 0;
-        options.commands.late = 0.2;
+        options.commands.delayedShare = 0.2;
         options.loss = 0.05;
-        options.mostDelay = 4;
+        options.maxDelayTurns = 4;
         options.seed = seed;
         Fleet fleet(options);
         auto& random = fleet.random();
         for (std::uint64_t change = 1; change <= 4; ++change) {
-            fleet.want(MapVersion(4096 * change + seed));
+            fleet.requestMap(MapVersion(4096 * change + seed));
             fleet.run(static_cast<int>(random() % 80));
             auto rank = static_cast<std::uint32_t>(random() % options.ranks);
             // An agent that dies where engines ignore fences is the case that platform.md leaves open.
@@ -398,12 +398,12 @@
                 fleet.startAgent(rank);
             } else
                 fleet.freeze(rank, static_cast<int>(random() % 300));
-            fleet.run(turnsForChange);
+            fleet.run(changeTurns);
         }
         INFO("seed " << seed << ", " << options.ranks << " ranks");
         CHECK(fleet.group().mixedSteps() == 0);
         auto before = fleet.group().steps();
-        fleet.run(turnsToSettle);
+        fleet.run(settleTurns);
         CHECK(fleet.group().steps() > before + 100);
     }
 }
@@ -413,7 +413,7 @@
 // rank switches while others are not armed yet.
 TEST_CASE("Rank engine: what was seen before an order was done releases nothing")
 {
-    PlainGroup group(2, false, {}, 1);
+    FakeEngineGroup group(2, false, {}, 1);
     auto port = group.portOf(0);
     RankEngine engine(port, RankIndex(0), group.epoch(), 1000, [&] { return group.now(); });
     boost::asio::io_context ioContext;
@@ -423,21 +423,21 @@
         ioContext.run();
     };
     auto order = [&](Order it, std::optional<ExpertMap> map = std::nullopt) -> boost::asio::awaitable<void> { co_await engine.perform(it, std::move(map)); };
-    MapVersion wanted(4100);
-    finish(order(StageMap { wanted }, ExpertMap::even({ 2, 1, 2, 1 }).value()));
+    MapVersion target(4100);
+    finish(order(StageMap { target }, ExpertMap::even({ 2, 1, 2, 1 }).value()));
     for (int n = 0; n < 60; ++n)
         group.advance();
-    SwitchPoint point { wanted, StepNumber(group.steps() + 3) };
+    SwitchPoint point { target, StepNumber(group.steps() + 3) };
     EngineView between;
-    auto look = [&]() -> boost::asio::awaitable<void> {
-        co_await port.command({ EngineCommand::Kind::Hold, group.epoch(), 0, wanted, point.step, nullptr }, TimePoint());
+    auto readBetween = [&]() -> boost::asio::awaitable<void> {
+        co_await port.command({ EngineCommand::Kind::Hold, group.epoch(), 0, target, point.step, nullptr }, TimePoint());
         between = co_await port.read(TimePoint());
     };
-    finish(look());
-    REQUIRE(between.heldAt == point.step);
+    finish(readBetween());
+    REQUIRE(between.heldStep == point.step);
     REQUIRE_FALSE(between.armed.has_value());
     finish(order(Arm { point }));
-    finish(engine.mend(between));
+    finish(engine.repair(between));
     for (int n = 0; n < 60; ++n)
         group.advance();
     CHECK(group.mixedSteps() == 0);
@@ -448,11 +448,11 @@
 // pauses for as long.
 TEST_CASE("Rank engine: a silent neighbour delays a change for a moment only")
 {
-    PlainGroup group(2, true, {}, 1);
+    FakeEngineGroup group(2, true, {}, 1);
     RankEngine engine(group.portOf(0), RankIndex(0), group.epoch(), 1000, [&] { return group.now(); });
     std::vector<milliseconds> waits;
     EnginePort silent;
-    silent.command = [&](const EngineCommand&, TimePoint deadline) -> boost::asio::awaitable<CommandEnd> {
+    silent.command = [&](const EngineCommand&, TimePoint deadline) -> boost::asio::awaitable<CommandOutcome> {
         waits.push_back(std::chrono::duration_cast<milliseconds>(deadline - group.now()));
         throw boost::system::system_error(boost::asio::error::timed_out);
     };
@@ -464,11 +464,11 @@
         ioContext.restart();
         ioContext.run();
     };
-    MapVersion wanted(4100);
-    finish(StageMap { wanted }, ExpertMap::even({ 2, 1, 2, 1 }).value());
+    MapVersion target(4100);
+    finish(StageMap { target }, ExpertMap::even({ 2, 1, 2, 1 }).value());
     for (int n = 0; n < 60; ++n)
         group.advance();
-    finish(Arm { { wanted, StepNumber(group.steps() + 3) } }, std::nullopt);
+    finish(Arm { { target, StepNumber(group.steps() + 3) } }, std::nullopt);
     CHECK(group.isHeld());
     // Held first, and taken back once rank 0 is held; together within the time that one read of an engine may take.
     REQUIRE(waits.size() == 2);
