--- a/src/agent/engine-port.h
+++ b/src/agent/engine-port.h
@@ -16,54 +16,54 @@
 
 namespace swiftloft::agent {
 
-/// What the engine of a rank says of itself.
+/// State that the engine of a rank reports.
 struct EngineView {
-    /// Start of its process; a later one has forgotten all commands and fences.
+    /// Start time of the engine's process. A process that started later has lost all commands and fences.
     gateway::ServerStartTime startedAt;
     EngineGroupName group;
-    /// Counts the formations of the group; it ends whenever a rank is lost.
+    /// Counts the formations of the group. An epoch ends whenever a rank is lost.
     std::uint64_t epoch { 0 };
     RankIndex rank;
     std::uint32_t ranks { 0 };
-    /// The group takes requests. While it does not, there is no step and no map to speak of.
+    /// True while the group takes requests. Otherwise `step` and `map` have no meaning.
     bool isOpen { false };
-    /// 1 is normal, above it slower.
+    /// Slowness relative to normal: 1 is normal, higher values are slower.
     double pace { 1 };
     MapVersion map;
     /// Step begun last.
     StepNumber step;
-    /// A map whose weights are loaded and that the rank does not run.
+    /// Map whose weights are loaded but that the rank does not run.
     std::optional<MapVersion> prepared;
     std::optional<expertmap::SwitchPoint> armed;
     /// The group does not begin this step before the rank is released.
     std::optional<StepNumber> heldStep;
 };
 
-/// What the engine counted and holds, by layer and expert.
+/// Tokens that the engine has counted, by layer and expert, and the experts that it holds.
 struct EngineCounts {
     std::vector<std::uint64_t> tokens;
-    /// Map that it runs, and its experts by layer.
+    /// Map that the engine runs, and the experts that it holds, by layer.
     MapVersion map;
     std::vector<std::vector<ExpertIndex>> experts;
 };
 
-/// One call that changes the engine. All name the epoch that they are meant for.
+/// One call that changes the state of the engine. Each command names the epoch that it is meant for.
 struct EngineCommand {
     enum class Kind {
-        /// Load the weights of `map` beside the current ones.
+        /// Loads the weights of `map` beside the current ones.
         Prepare,
-        /// Run `version` from `step` on.
+        /// Makes the rank run `version` from `step` on.
         Arm,
         Disarm,
-        /// Keep the group from beginning `step`.
+        /// Keeps the group from beginning `step`.
         Hold,
         Release,
     };
 
     Kind kind { Kind::Hold };
     std::uint64_t epoch { 0 };
-    /// Rises with each command: an engine that checks it refuses a late copy of an older one. 0 for a command without one,
-    /// which is never refused for its fence.
+    /// Increases with each command: an engine that checks fences rejects a late copy of an older command. 0 for a
+    /// command without a fence, which is never rejected for its fence.
     std::uint64_t fence { 0 };
     MapVersion version;
     StepNumber step;
@@ -72,18 +72,18 @@
 
 enum class CommandOutcome {
     Done,
-    /// Does not fit the engine's state, or the epoch.
+    /// The command does not fit the engine's state or epoch.
     Refused,
-    /// A higher fence has been seen.
+    /// The engine has seen a higher fence.
     Fenced,
 };
 
-/// The calls of an agent to the engine in whose slot it runs. They throw when there is no answer by `deadline`; a command
-/// without an answer may be carried out later.
+/// Calls of an agent to the engine in its slot. They throw if no response arrives by `deadline`; a command without a
+/// response may still be executed later.
 struct EnginePort {
     std::function<boost::asio::awaitable<EngineView>(TimePoint deadline)> read;
     std::function<boost::asio::awaitable<EngineCounts>(TimePoint deadline)> readCounts;
-    /// The same without `tokens`, which are most of what is read.
+    /// Like `readCounts`, but without `tokens`, which make up most of the data.
     std::function<boost::asio::awaitable<EngineCounts>(TimePoint deadline)> readHeldExperts;
     std::function<boost::asio::awaitable<CommandOutcome>(EngineCommand command, TimePoint deadline)> command;
 };
--- a/src/agent/group-member.cc
+++ b/src/agent/group-member.cc
@@ -15,16 +15,16 @@
 
 constexpr milliseconds busyTickInterval { 10 };
 constexpr milliseconds idleTickInterval { 100 };
-/// A group that stands for this long is held.
+/// A group that has not advanced for this long is considered held.
 constexpr milliseconds holdTimeout { 1000 };
-/// A held group says so this often.
+/// Interval between the log lines of a held group.
 constexpr milliseconds holdLogInterval { 5000 };
-/// A stepped-down coordinator starts anew after this long, so that two processes that both run rank 0 don't outbid each
-/// other in turn without a pause.
+/// Delay before a coordinator that has stepped down starts again. Without the delay, two processes that both run rank 0
+/// would supersede each other continuously.
 constexpr milliseconds coordinatorRestartDelay { 1000 };
-/// Three of the coordinator's reads of an idle group.
+/// Three of the intervals at which the coordinator reads an idle group.
 constexpr milliseconds silenceTimeout { 3000 };
-/// Coordinators whose addresses are remembered.
+/// Limits the number of coordinator addresses that are kept.
 constexpr std::size_t maxCoordinatorAddresses = 16;
 
 } // namespace
@@ -144,8 +144,8 @@
         m_hooks.sendToEngine(effect.order, map);
         return;
     }
-    // The content isn't here yet. The engine is read in place of the order; the coordinator repeats the order until the
-    // engine shows the map.
+    // The content of the map has not arrived yet. The order is replaced by a status read; the coordinator repeats the
+    // order until the engine reports the map.
     fetchMap(stage->version);
     m_hooks.sendToEngine({ effect.order.id, effect.order.fence, ReadStatus {} }, nullptr);
 }
@@ -239,10 +239,10 @@
 void GroupMember::onMapDifference(const MapDifference& difference)
 {
     auto* base = m_maps.find(difference.base);
-    // One that is known already was passed on already.
+    // A map that is already known has already been forwarded.
     if (m_maps.find(difference.version))
         return;
-    // One that lacks the base can still pass the difference on, to ranks that may have it.
+    // The difference is forwarded even without the base, because the receivers may have the base.
     forwardMap(difference);
     if (!base)
         return;
@@ -252,7 +252,8 @@
         log::write(log::Event::MapUnreadable, "group={} version={:016x} problem=\"{}\"", m_options.group.value(), difference.version.value(), map.error().message);
 }
 
-/// Asks one rank after the other, from rank 0 on: any that holds the map will do, as no version ever names two maps.
+/// Requests go to one rank after another, starting at rank 0. Any rank that has the map can answer, because a version
+/// never names two maps.
 void GroupMember::fetchMap(MapVersion version)
 {
     sendToRank(RankIndex(m_nextFetchRank), MapRequest { version });
@@ -263,8 +264,8 @@
 {
     if (m_isStopped)
         return;
-    // Sent ahead of the orders, which name it only: a rank that has it need not ask first. One that lacks the map that the
-    // difference is from does ask.
+    // The content is sent ahead of the orders, which contain only the version, so that ranks need not request it. A
+    // rank that lacks the base of the difference requests the whole map.
     auto* base = m_lastSentMap ? m_maps.find(*m_lastSentMap) : nullptr;
     auto message = base ? GroupMessage(differenceBetween({ *m_lastSentMap, *base }, versioned)) : GroupMessage(versioned);
     forwardMap(message);
@@ -320,7 +321,7 @@
 {
     auto& status = m_agent.status();
     auto step = status ? status->entered : m_lastStep;
-    // Loading beside the steps holds nothing, and rank 0 is not read while other ranks load.
+    // Staging runs beside the steps and holds nothing, and rank 0 is not read while other ranks stage.
     auto phase = m_coordinator->phase();
     bool mayHold = phase != CoordinatorPhase::Idle && phase != CoordinatorPhase::Staging;
     if (step != m_lastStep || !mayHold) {
--- a/src/agent/group-member.h
+++ b/src/agent/group-member.h
@@ -16,8 +16,8 @@
 
 namespace swiftloft::agent {
 
-/// An agent's part in one rank group: the `RankAgent` of its engine and, at rank 0, the group's `Coordinator`, with their
-/// effects carried out over the network. Belongs to the control thread.
+/// One agent's membership in a rank group. Runs the `RankAgent` of the agent's engine and, at rank 0, the group's
+/// `Coordinator`, and executes their effects over the network. Must be used on the control thread only.
 class GroupMember {
 public:
     struct Options {
@@ -26,55 +26,56 @@
         expertmap::MapShape shape;
         Incarnation incarnation;
         bool checksFences { false };
-        /// Address for messages of the group.
+        /// Local address that receives the group's messages.
         GroupTransport::Endpoint endpoint;
-        /// An engine that has not answered for this long is read again.
+        /// The engine's status is read again if the engine has not responded within this time.
         milliseconds engineTimeout { 200 };
-        /// Timing of the coordinator; its incarnation and ranks are set here.
+        /// Options of the coordinator. `create` sets its incarnation and its number of ranks.
         expertmap::Coordinator::Options coordination;
-        /// The map that every engine of a new group has, when each agent knows it without being told. The first change is
-        /// then told by what differs from it, a third of the bytes of a whole map.
+        /// Map that every engine of a new group runs, if each agent can derive it locally. The first change is then
+        /// sent as a difference from this map, which takes a third of the bytes of a whole map.
         std::optional<expertmap::VersionedMap> initialMap;
     };
 
     struct Hooks {
-        /// Write an order to the engine; `map` is the content of the map that a `StageMap` names. The answer comes back
-        /// by `onEngine`.
+        /// Sends an order to the engine. `map` is the content of the map that a `StageMap` order names, and null for
+        /// other orders. The response must be passed to `onEngineEvent`.
         std::function<void(const expertmap::EngineOrder& order, const expertmap::ExpertMap* map)> sendToEngine;
-        /// At rank 0: what a rank counted.
+        /// Called at rank 0 with the loads that a rank has reported.
         std::function<void(const expertmap::RankLoads& loads)> onLoads;
-        /// At rank 0: all ranks run a new map.
+        /// Called at rank 0 when all ranks run a new map.
         std::function<void(const expertmap::SwitchPoint& point)> onMapChanged;
     };
 
-    /// Fails with `Unavailable` when the address can't be bound, and as `RankAgent::create` and `Coordinator::create` do.
+    /// Fails with `Unavailable` if the address can't be bound, and with the errors of `RankAgent::create` and
+    /// `Coordinator::create`.
     static Result<std::unique_ptr<GroupMember>> create(boost::asio::io_context& ioContext, Options options, Hooks hooks);
     ~GroupMember();
 
-    /// Call once the addresses known so far have been set.
+    /// Starts the protocol. Call after the addresses known so far have been set.
     void start();
     void stop();
     void setAddress(RankIndex rank, const GroupTransport::Endpoint& address);
     bool hasAllAddresses() const;
     void addMap(const expertmap::VersionedMap& map) { m_maps.add(map); }
     const expertmap::ExpertMap* findMap(MapVersion version) const { return m_maps.find(version); }
-    /// Asks another rank for the content of a map.
+    /// Requests the content of a map from another rank.
     void fetchMap(MapVersion version);
     void onEngineEvent(const expertmap::rank::Event& event);
-    /// At rank 0: changes the group to this map. The ranks are sent its content at once.
+    /// At rank 0: starts a change of the group to this map and sends its content to the ranks at once.
     void requestMapChange(const expertmap::VersionedMap& map);
-    /// At rank 0: gives the wish up as far as no rank may be armed for it.
+    /// At rank 0: withdraws the requested change, unless a rank may already be armed for it.
     void withdrawMapChange();
-    /// Sends what the engine counted to rank 0.
+    /// Sends the loads that the engine has counted to rank 0.
     void sendLoads(const expertmap::RankLoads& loads);
 
     const Options& options() const { return m_options; }
     const expertmap::RankAgent& agent() const { return m_agent; }
     /// Null at ranks other than 0.
     const expertmap::Coordinator* coordinator() const { return m_coordinator ? &*m_coordinator : nullptr; }
-    /// Since when the group may be held at its step; `heldStep` is set once that is long ago.
+    /// Step at which a change may be holding the group. Set once the group has stayed at the step for a second.
     std::optional<StepNumber> heldStep(TimePoint now) const;
-    /// Ranks that the coordinator has not heard lately, as plain numbers.
+    /// Ranks from which the coordinator has not received a report lately, as plain numbers.
     std::vector<std::uint32_t> silentRanks(TimePoint now) const;
 
 private:
@@ -95,7 +96,7 @@
     void onCoordinatorEvent(const expertmap::coordination::Event& event);
     void onMap(const expertmap::VersionedMap& versioned);
     void onMapDifference(const MapDifference& difference);
-    /// Sends a new map on to the ranks that get it from this one.
+    /// Forwards a new map to the ranks that receive it from this one.
     void forwardMap(const GroupMessage& message);
     void sendToRank(RankIndex rank, const GroupMessage& message);
     void tick();
@@ -108,21 +109,21 @@
     boost::asio::steady_timer m_timer;
     std::shared_ptr<GroupTransport> m_transport;
     MapStore m_maps;
-    /// Address of each rank's agent; unset while it is not known.
+    /// Address of each rank's agent; unset while unknown.
     std::vector<std::optional<GroupTransport::Endpoint>> m_addresses;
-    /// Where the coordinators that gave orders are.
+    /// Addresses of the coordinators that have sent orders.
     std::map<Incarnation, GroupTransport::Endpoint> m_coordinatorAddresses;
-    /// Rank asked last for the content of a map.
+    /// Rank that receives the next request for the content of a map.
     std::uint32_t m_nextFetchRank { 0 };
     bool m_isStopped { false };
 
-    // At rank 0 only.
+    // The members below are used at rank 0 only.
     std::optional<expertmap::Coordinator> m_coordinator;
     std::optional<TimePoint> m_coordinatorRestartAt;
     std::optional<MapVersion> m_targetMap;
-    /// Map that all ranks were told last.
+    /// Map that was sent to all ranks last.
     std::optional<MapVersion> m_lastSentMap;
-    /// Step of rank 0 seen last, and since when the group may be held at it.
+    /// Last step seen at rank 0, and the time since which a change may be holding the group there.
     StepNumber m_lastStep;
     TimePoint m_lastStepAt;
     TimePoint m_holdLoggedAt;
--- a/src/agent/group-transport.cc
+++ b/src/agent/group-transport.cc
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// Writes a message into the union of a datagram.
+/// Writes a message into the union of a `schema::GroupMessage`.
 struct MessageBuilder {
     schema::GroupMessage::Builder out;
 
@@ -135,7 +135,7 @@
     m_socket.async_receive_from(buffer, m_sender, [self = shared_from_this()](boost::system::error_code ec, std::size_t size) {
         if (!self->m_handler || ec == asio::error::operation_aborted)
             return;
-        // Other errors tell of an earlier datagram that found no receiver; the socket goes on.
+        // Other errors report that an earlier datagram found no receiver. The socket remains usable.
         if (!ec)
             self->onDatagram(size);
         if (self->m_handler)
@@ -148,7 +148,7 @@
     auto message = decode(size);
     if (!message)
         return;
-    // A copy: the handler may stop the transport, which lets go of it.
+    // Copied because the handler may stop the transport, which resets `m_handler`.
     auto handler = m_handler;
     handler(m_sender, *message);
 }
@@ -159,7 +159,8 @@
         auto* words = reinterpret_cast<const capnp::word*>(m_buffer.data());
         capnp::FlatArrayMessageReader reader(kj::arrayPtr(words, size / sizeof(capnp::word)));
         auto root = reader.getRoot<schema::GroupMessage>();
-        // Failure: an address changed hands and still gets messages of another group. Its orders speak of other engines.
+        // Failure: an address has been reassigned and still receives messages of another group, whose orders are meant
+        // for other engines.
         if (root.getGroup() != m_group.c_str())
             return std::nullopt;
         return decodeMessage(root);
--- a/src/agent/group-transport.h
+++ b/src/agent/group-transport.h
@@ -18,30 +18,32 @@
 
 namespace swiftloft::agent {
 
-/// Asks for the content of a map.
+/// Requests the content of a map.
 struct MapRequest {
     MapVersion version;
 };
 
-/// What the agents of a rank group tell each other.
+/// Message between the agents of a rank group.
 using GroupMessage = std::variant<expertmap::RankOrder, expertmap::RankReport, expertmap::RankHello, MapRequest, expertmap::VersionedMap, expertmap::RankLoads, MapDifference>;
 
-/// Cap'n Proto datagrams between the agents of a rank group. Belongs to the control thread.
+/// Exchanges Cap'n Proto datagrams between the agents of a rank group. Must be used on the control thread only.
 ///
-/// Datagrams rather than calls on connections: the protocol repeats whatever is lost, doubled or overtaken, every
-/// message fits one, and there is no connection that could go silent unnoticed and be found dead only after a timeout.
+/// Uses datagrams instead of calls on connections: the protocol recovers from lost, duplicated and reordered messages,
+/// every message fits one datagram, and there is no connection that could stall unnoticed and be found dead only after
+/// a timeout.
 class GroupTransport : public std::enable_shared_from_this<GroupTransport> {
 public:
     using Endpoint = boost::asio::ip::udp::endpoint;
     using Handler = std::function<void(const Endpoint& from, const GroupMessage&)>;
 
-    /// Payload of a UDP datagram, less room for the envelope. An expert map above it can't be sent.
+    /// Maximum payload of a UDP datagram, less room for the envelope. A larger expert map can't be sent.
     static constexpr std::size_t maxDatagramBytes = 65'000;
 
-    /// Fails with `Unavailable` when `endpoint` can't be bound.
+    /// Fails with `Unavailable` if `endpoint` can't be bound.
     static Result<std::shared_ptr<GroupTransport>> create(boost::asio::io_context& ioContext, const Endpoint& endpoint, std::string group, Handler handler);
 
-    /// What can't be sent now is dropped.
+    /// Sends `message` without blocking. A message that can't be sent at once, or that exceeds `maxDatagramBytes`, is
+    /// dropped.
     void send(const Endpoint& to, const GroupMessage& message);
     void stop();
 
@@ -58,7 +60,7 @@
     std::string m_group;
     Handler m_handler;
     Endpoint m_sender;
-    /// Words, as Cap'n Proto reads in place.
+    /// Consists of words because Cap'n Proto reads messages in place.
     std::vector<std::uint64_t> m_buffer;
 };
 
--- a/src/agent/load-collector.cc
+++ b/src/agent/load-collector.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Steps after which a count, told modulo 2^16, may have gone round: the hottest expert of a layer gets up to 1,400 tokens
-/// of one rank in a step.
+/// Maximum distance in steps between two reports whose counts can be subtracted. Counts are reported modulo 2^16 and
+/// may wrap around beyond it: the hottest expert of a layer gets up to 1,400 tokens of one rank in a step.
 constexpr std::uint64_t maxStepsBetweenReports = 40;
 
 } // namespace
@@ -31,11 +31,13 @@
     if (!isFit)
         return;
     auto& last = m_loads[loads.rank.value()];
-    // Failure: datagrams overtake each other; an older count taken as newer would add what was counted already.
+    // Failure: datagrams arrive out of order. An older count taken for a newer one would add tokens that have already
+    // been counted.
     bool isSameIncarnation = last && last->engine == loads.engine;
     if (isSameIncarnation && loads.step <= last->step)
         return;
-    // Failure: after a long silence counts may have gone round, and their differences say nothing.
+    // Failure: counts may have wrapped around during a long gap between reports, which makes their differences
+    // meaningless.
     bool isRecent = isSameIncarnation && hasTokens && !last->tokens.empty() && loads.step.value() - last->step.value() <= maxStepsBetweenReports;
     for (std::size_t n = 0; n < m_pendingTokens.size() && isRecent; ++n)
         m_pendingTokens[n] += static_cast<std::uint16_t>(loads.tokens[n] - last->tokens[n]);
@@ -46,13 +48,13 @@
 
 void LoadCollector::observe(TimePoint now)
 {
-    // Failure: the requests of a few ranks ask for other experts than those of all, which would pass for a shift of
-    // demand; those of half the ranks that count are alike.
+    // Failure: the requests of a few ranks use other experts than the requests of the whole group, which would look
+    // like a shift of demand. Those of half of the counting ranks are representative.
     auto reportedRanks = std::count(m_hasReported.begin(), m_hasReported.end(), true);
     auto countingRanks = std::count_if(m_loads.begin(), m_loads.end(), [](auto& it) { return it && !it->tokens.empty(); });
     if (2 * reportedRanks < countingRanks)
         return;
-    // Every value is a sum of counts, so the planner has nothing to refuse.
+    // Every value is a sum of counts, so the planner can't reject the input.
     m_planner.observe(now, m_pendingTokens);
     std::fill(m_pendingTokens.begin(), m_pendingTokens.end(), 0.0);
     std::fill(m_hasReported.begin(), m_hasReported.end(), false);
--- a/src/agent/load-collector.h
+++ b/src/agent/load-collector.h
@@ -8,18 +8,20 @@
 
 namespace swiftloft::agent {
 
-/// Gathers what the ranks of a group counted and plans its next map. Pure: the time comes with each call.
+/// Collects the loads that the ranks of a group report and feeds them to the planner of the group's next map. Pure: the
+/// caller supplies the time.
 class LoadCollector {
 public:
     LoadCollector(const expertmap::MapShape& shape, expertmap::ReplicaPlanner planner);
 
-    /// A report without tokens tells only what the rank holds.
+    /// Records the report of a rank. A report without tokens only lists the experts that the rank holds.
     void onLoads(const expertmap::RankLoads& loads);
-    /// Hands what was counted to the planner, once half of the ranks that count have told.
+    /// Passes the collected counts to the planner once half of the counting ranks have reported.
     void observe(TimePoint now);
-    /// The map that all ranks run; nothing while that is not known of each, or while they differ.
+    /// The map that all ranks run; unset while the map of a rank is unknown or the maps differ.
     std::optional<expertmap::VersionedMap> currentMap() const;
-    /// Ranks that keep `current` from being known: nothing was heard of them, or they run another map than rank 0.
+    /// Ranks that keep `currentMap` unset: they have not reported, or their report differs from that of rank 0 in map
+    /// or incarnation.
     std::vector<RankIndex> unknownRanks() const;
     const expertmap::ReplicaPlanner& planner() const { return m_planner; }
 
@@ -27,7 +29,7 @@
     expertmap::MapShape m_shape;
     expertmap::ReplicaPlanner m_planner;
     std::vector<std::optional<expertmap::RankLoads>> m_loads;
-    /// Tokens by layer and expert that the planner has not got yet, and the ranks that told of them.
+    /// Tokens by layer and expert that have not been passed to the planner yet, and the ranks that reported them.
     std::vector<double> m_pendingTokens;
     std::vector<bool> m_hasReported;
 };
--- a/src/agent/map-difference.cc
+++ b/src/agent/map-difference.cc
@@ -21,7 +21,7 @@
     std::vector<ExpertIndex> slots(base.slots().begin(), base.slots().end());
     for (auto& slot : difference.slots) {
         if (slot.index >= slots.size())
-            return Error { ErrorCode::MalformedInput, "a difference names a place outside its map" };
+            return Error { ErrorCode::MalformedInput, "map difference names a slot outside its base map" };
         slots[slot.index] = slot.expert;
     }
     auto map = ExpertMap::create(base.shape(), std::move(slots));
--- a/src/agent/map-difference.h
+++ b/src/agent/map-difference.h
@@ -8,11 +8,12 @@
 
 namespace swiftloft::agent {
 
-/// A map told by what differs from one that the receiver has: a change of 120 experts is half a kilobyte where the map of
-/// 16 layers and 24 ranks is four. Told whole to 23 ranks over 8 Mbit/s it took 90 ms, in which all steps are uneven.
+/// A map expressed as its difference from a map that the receiver has. A change of 120 experts takes half a kilobyte,
+/// while the whole map of 16 layers and 24 ranks takes four. Sending the whole map to 23 ranks over 8 Mbit/s took 90
+/// ms, during which all steps are unbalanced.
 struct MapDifference {
     struct Slot {
-        /// Place in the map, by layer, rank and slot.
+        /// Position in the map, ordered by layer, rank and slot.
         std::uint32_t index { 0 };
         ExpertIndex expert;
 
@@ -24,10 +25,11 @@
     std::vector<Slot> slots;
 };
 
-/// Both maps have one shape.
+/// Returns the difference that turns `base` into `next`. Both maps must have the same shape.
 MapDifference differenceBetween(const expertmap::VersionedMap& base, const expertmap::VersionedMap& next);
 
-/// The map that `difference` tells of. Fails with `MalformedInput` when it does not fit `base`.
+/// Returns the map that results from applying `difference` to `base`. Fails with `MalformedInput` if the difference
+/// does not fit `base`.
 Result<expertmap::VersionedMap> applyDifference(const expertmap::ExpertMap& base, const MapDifference& difference);
 
 } // namespace swiftloft::agent
--- a/src/agent/map-distribution.h
+++ b/src/agent/map-distribution.h
@@ -7,17 +7,18 @@
 
 namespace swiftloft::agent {
 
-/// Groups up to this size are told a new map by rank 0 alone: on its link that takes some 30 ms.
+/// Groups up to this size receive a new map from rank 0 alone, which takes about 30 ms on its link.
 inline constexpr std::uint32_t maxDirectReceivers = 32;
-/// Ranks that pass a map on in a larger group.
+/// Number of ranks that forward a map in a larger group.
 inline constexpr std::uint32_t relayRankCount = 8;
 
-/// The ranks that `self` sends a new map to, once it has it. From rank 0 on, each other rank gets it from exactly one.
+/// Returns the ranks that `self` sends a new map to. Starting at rank 0, each other rank receives the map from exactly
+/// one rank.
 ///
-/// Failure: rank 0 sends the same map to every rank of a large group over its small link. Orders and reports wait behind it,
-/// what does not fit into the link is lost, and changes are given up in staging. Passed on by a few ranks, it takes an
-/// eighth of the time. A rank whose sender is gone lacks the map when it is told to load it, and
-/// asks for it.
+/// Failure: rank 0 sends the same map to every rank of a large group over its narrow link. Orders and reports queue
+/// behind the map, what does not fit into the link is lost, and changes time out in staging. Forwarding by a few ranks
+/// takes an eighth of the time. A rank whose sender has failed lacks the map when it is ordered to load the map, and
+/// requests it then.
 inline std::vector<RankIndex> mapReceivers(RankIndex self, std::uint32_t ranks)
 {
     std::vector<RankIndex> receivers;
--- a/src/agent/map-scheduler.cc
+++ b/src/agent/map-scheduler.cc
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// A map's number is a count in the high bits and a random part below, so that coordinators that don't know of each other
-/// never give one number to two maps.
+/// A map version is a counter in the high bits and a random part in the low bits, so that coordinators that don't know
+/// of each other never assign one version to two maps.
 constexpr unsigned versionRandomBits = 12;
 
 } // namespace
@@ -42,8 +42,8 @@
     }
     if (!mayPlan(now, phase))
         return;
-    // Failure: a group has formed anew and its ranks are at their most uneven. Sought before demand is known, a plan is refused,
-    // and the next one waits for the pause that follows a refusal.
+    // Failure: a group has just formed again, and its ranks are at their most unbalanced. A plan made before demand is
+    // known is rejected, and the next plan waits for the delay after a rejection.
     if (!m_loadCollector.planner().isKnown() && m_loadCollector.unknownRanks().empty()) {
         reportRejectedPlan(now, { .reason = PlanReason::NotKnown });
         return;
@@ -60,14 +60,16 @@
         return false;
     auto shiftedAt = m_loadCollector.planner().shiftedAt();
     bool isSettled = !shiftedAt || *shiftedAt + settleTime <= now;
-    // A shift ends the pause after a refused plan.
+    // A shift of demand ends the delay after a rejected plan.
     bool hasShifted = shiftedAt && *shiftedAt + rejectedPlanDelay > m_nextPlanAt;
     return isSettled && (now >= m_nextPlanAt || hasShifted);
 }
 
-/// Failure: hundreds of groups share the work of a few, and each changes its map with every shift of demand. Nobody is served
-/// sooner by it, as their passes last as long as empty ones, and the copies are paid for. Where passes are long for their load,
-/// the same unevenness makes every stream of the group late.
+/// Share of the pass time that depends on the load of the ranks.
+///
+/// Failure: hundreds of groups share the work of a few, and each changes its map with every shift of demand. The
+/// changes cost copies but make no request faster, because the passes last as long as empty ones. Where the load makes
+/// passes long, the same imbalance delays every stream of the group.
 double MapScheduler::loadShare() const
 {
     auto basePassTime = std::chrono::duration_cast<Clock::duration>(m_loadCollector.planner().slowestPace() * m_basePassTime);
@@ -88,8 +90,8 @@
     m_hooks.onMapChangeRequested({ nextVersion(current, prepared, generator), *plan.map }, plan);
 }
 
-/// Failure: a leader that plans nothing looks like one that has nothing to plan, while the most loaded rank slows the whole
-/// group. What is said tells which of the two it is, and whose word is missing.
+/// Failure: a scheduler that can't plan looks like one that has nothing to plan, while the most loaded rank slows the
+/// whole group. The report tells the two cases apart and names the ranks without a usable report.
 void MapScheduler::reportUnknownRanks(TimePoint now)
 {
     if (!takeLogAllowance(now))
--- a/src/agent/map-scheduler.h
+++ b/src/agent/map-scheduler.h
@@ -13,42 +13,44 @@
 
 namespace swiftloft::agent {
 
-/// Decides at rank 0 when its group gets another map, and which: it plans while no change is in progress, and gives up one
-/// that does not come about. Pure: time and randomness come with each call, what is decided goes out by hooks.
+/// Decides at rank 0 when the group changes its expert map, and to which map. Plans while no change is in progress, and
+/// withdraws a change that does not complete in time. Pure: the caller supplies time and randomness, and decisions go
+/// out through hooks.
 class MapScheduler {
 public:
-    /// A map that is not in force after this long is given up: a rank can't load it, or the group stands.
+    /// A requested map that is not in force after this time is withdrawn: a rank can't load it, or the group does not
+    /// advance.
     static constexpr milliseconds changeTimeout { 4000 };
-    /// Pause between two changes, in which the counts come to show what the last one did.
+    /// Delay between a change and the next plan, in which the counts come to show the effect of the change.
     static constexpr milliseconds postChangeDelay { 60 };
-    /// A plan that was not worth a change is not sought again for this long, unless demand shifts: the counts that come
-    /// meanwhile change it little, and a search on a small share of a processor delays the reading of the engine.
+    /// Delay after a plan that was not worth a change, unless demand shifts. The counts that arrive meanwhile change
+    /// the plan little, and a search on a small share of a processor delays the reads of the engine.
     static constexpr milliseconds rejectedPlanDelay { 250 };
-    /// Nothing is planned for so long after a shift of demand: the reports of one more look tell whether it is over.
+    /// Delay after a shift of demand before the next plan. The reports of one more poll show whether the shift is over.
     static constexpr milliseconds settleTime { 45 };
-    /// Why nothing is planned is said this often at most.
+    /// Minimum interval between two reports of why nothing is planned.
     static constexpr milliseconds unplannedLogInterval { 5000 };
 
     struct Hooks {
-        /// The group shall run this map, which `plan` led to.
+        /// Requests a change of the group to `map`, which results from `plan`.
         std::function<void(const expertmap::VersionedMap& map, const expertmap::Plan& plan)> onMapChangeRequested;
-        /// The map wanted last is not wanted any more.
+        /// Withdraws the last requested change.
         std::function<void()> onMapChangeWithdrawn;
-        /// A plan was made in `took`, wanted or not.
+        /// Reports a plan and the time that it took, whether or not it leads to a change.
         std::function<void(const expertmap::Plan& plan, Clock::duration took)> onPlanned;
-        /// Nothing is planned, and why. `detail` has the figures.
+        /// Reports why nothing is planned. `detail` contains the figures.
         std::function<void(std::string_view reason, const std::string& detail)> onNotPlanned;
     };
 
-    /// `basePassTime` is what a pass lasts that carries next to nothing; `lastVersion` is the highest that this agent has given
-    /// to a map.
+    /// `basePassTime` is the duration of a pass with next to no load. `lastVersion` is the highest version that this
+    /// agent has assigned to a map.
     MapScheduler(LoadCollector loadCollector, Clock::duration basePassTime, std::uint64_t lastVersion, Hooks hooks);
 
     void onLoads(const expertmap::RankLoads& loads) { m_loadCollector.onLoads(loads); }
-    /// All ranks run the map that was wanted.
+    /// Call when all ranks run the requested map.
     void onMapChanged(TimePoint now);
-    /// Call it often. `step` is the last that the engine of rank 0 has begun, `prepared` the map that it has loaded and does
-    /// not run.
+    /// Call at short intervals. `step` is the last step that the engine of rank 0 has begun; `prepared` is the map that
+    /// the engine has loaded but does not run.
     void tick(TimePoint now, expertmap::CoordinatorPhase phase, StepNumber step, std::optional<MapVersion> prepared, policy::Generator& generator);
 
     std::uint64_t lastVersion() const { return m_lastVersion; }
@@ -59,7 +61,7 @@
     void plan(TimePoint now, const expertmap::VersionedMap& current, std::optional<MapVersion> prepared, policy::Generator& generator);
     void reportUnknownRanks(TimePoint now);
     void reportRejectedPlan(TimePoint now, const expertmap::Plan& plan);
-    /// True at most once in `unplannedSaidEvery`.
+    /// Returns true at most once per `unplannedLogInterval`.
     bool takeLogAllowance(TimePoint now);
     MapVersion nextVersion(const expertmap::VersionedMap& current, std::optional<MapVersion> prepared, policy::Generator& generator);
 
@@ -68,7 +70,7 @@
     Clock::duration m_basePassTime;
     std::uint64_t m_lastVersion;
     Hooks m_hooks;
-    /// Until when a wanted map must be in force, else it is given up.
+    /// Time by which the requested map must be in force; set while a change is requested.
     std::optional<TimePoint> m_changeDeadline;
     TimePoint m_nextPlanAt;
     TimePoint m_unplannedLoggedAt;
--- a/src/agent/pass-time-estimator.h
+++ b/src/agent/pass-time-estimator.h
@@ -8,17 +8,18 @@
 
 namespace swiftloft::agent {
 
-/// How long the passes of a group last, from the step that its engine shows at each look. Pure: the time comes with each
-/// call.
+/// Estimates the duration of a group's passes from the step that its engine reports at each poll. Pure: the caller
+/// supplies the time.
 class PassTimeEstimator {
 public:
-    /// Passes are counted over so long at least: between two looks an engine shows one step more, or none.
+    /// Minimum time over which passes are counted. Between two polls an engine reports one more step or none, which is
+    /// too coarse.
     static constexpr milliseconds minMeasurementTime { 400 };
-    /// Measurements that are remembered; together two seconds or more.
+    /// Number of measurements that are kept. Together they cover two seconds or more.
     static constexpr std::size_t maxMeasurements { 5 };
 
     void observe(TimePoint now, StepNumber step);
-    /// The shortest of the remembered measurements; unset before the first. A group that waits for work in between seems to
+    /// Shortest of the kept measurements; unset before the first. A group that waits for work between passes appears to
     /// have longer passes than it has.
     std::optional<Clock::duration> shortest() const;
 
@@ -29,8 +30,8 @@
     std::size_t m_nextIndex { 0 };
 };
 
-/// The part of a pass that depends on what the ranks have to do, 0 to 1; 1 while the length of a pass is not known. `fixed` is
-/// what a pass lasts that carries next to nothing.
+/// Share of a pass that depends on the load of the ranks, from 0 to 1; 1 while the duration of a pass is unknown.
+/// `basePassTime` is the duration of a pass with next to no load.
 double loadDependentShare(const std::optional<Clock::duration>& passTime, Clock::duration basePassTime);
 
 } // namespace swiftloft::agent
--- a/src/agent/rank-daemon.cc
+++ b/src/agent/rank-daemon.cc
@@ -25,42 +25,45 @@
 
 namespace {
 
-/// The engine is read this often: demand shifts every few seconds, and until the map has followed every step is slower.
+/// Interval between reads of the engine. Demand shifts every few seconds, and every step is slower until the map has
+/// followed.
 constexpr milliseconds pollInterval { 50 };
 constexpr milliseconds responseTimeout { 60 };
-/// Counts sent to rank 0 in a second at most, of two bytes each: what control may send is 25 KB a second.
+/// Maximum number of counts sent to rank 0 per second, of two bytes each. Control traffic may use 25 KB per second.
 constexpr std::uint32_t maxCountsPerSecond = 12000;
-/// Ranks whose counts rank 0 gets at that rate; all ranks of a group are asked for the same experts, and those of twelve
-/// tell as much. Those of more would fill its link, and orders and reports would wait behind them.
+/// Maximum number of ranks that send their counts to rank 0 at that rate. All ranks of a group are asked for the same
+/// experts, so the counts of twelve ranks are representative. The counts of more ranks would fill the link of rank 0,
+/// and orders and reports would queue behind them.
 constexpr std::uint32_t maxCountingRanks = 12;
-/// The others tell only which experts they hold, a tenth of the bytes: when their map has changed, as rank 0 plans when it
-/// knows all, and this often, as datagrams get lost.
+/// Interval at which the other ranks report only the experts that they hold, which takes a tenth of the bytes. They
+/// also report when their map has changed, because rank 0 plans only when it knows the map of every rank. The interval
+/// covers lost datagrams.
 constexpr milliseconds heldReportInterval { 500 };
-/// Entries are told of the engine this often while it is well, and when it is slow or its group takes no requests: that
-/// counts for 1.2 s only.
+/// Intervals between status reports to the entries: the first while the engine is healthy, the second while the engine
+/// is slow or its group takes no requests. Entries use a degraded report for 1.2 s only.
 constexpr milliseconds statusInterval { 1400 };
 constexpr milliseconds degradedStatusInterval { 400 };
-/// A change of pace by this part is told at once.
+/// A relative change of pace above this is reported at once.
 constexpr double minPaceChange { 0.15 };
-/// An entry that has sent no brief for this long is not told any more.
+/// An entry that has sent no brief for this long receives no further reports.
 constexpr milliseconds entryLifetime { 5000 };
-/// A rank that loads weights answers when it has them, or after this long: well below the time after which its agent holds
-/// the engine for lost.
+/// A rank that loads weights responds when they are loaded, or after this time: well below the time after which its
+/// agent considers the engine lost.
 constexpr milliseconds stagingResponseTimeout { 120 };
-/// Pause between two looks at an engine that loads weights; copies take tens of milliseconds.
+/// Interval between reads of an engine that loads weights. Copies take tens of milliseconds.
 constexpr milliseconds stagingPollInterval { 12 };
-/// Steps between the newest known one and the switch while it is not known how long steps take.
+/// Steps between the newest known step and the switch while the duration of steps is unknown.
 constexpr std::uint64_t leadSteps = 2;
-/// Time from the choice of the switch step until all ranks are armed: two exchanges with an engine and one between
-/// agents, with the pause after the neighbour's hold.
+/// Time from the choice of the switch step until all ranks are armed: two exchanges with an engine, one between agents,
+/// and the delay after the neighbour's hold.
 constexpr milliseconds leadTime { 85 };
 constexpr std::uint64_t maxLeadSteps = 64;
 
-/// Orders that rank 0 sends in a second at most while it waits: each is answered, and both ways together they may take a
-/// third of a link of 6 Mbit/s. A link that is full of questions loses the orders.
+/// Maximum number of orders that rank 0 sends per second while it waits. Each order is answered, and both directions
+/// together may take a third of a link of 6 Mbit/s. A link that is full of status queries loses the orders.
 constexpr std::uint32_t maxOrdersPerSecond = 600;
 
-/// The pause between two orders to one rank of a group of this size; `least` in a small one.
+/// Interval between two orders to one rank of a group of this size; `minInterval` in a small group.
 milliseconds orderInterval(std::uint32_t ranks, milliseconds minInterval)
 {
     constexpr std::uint32_t msPerSecond = 1000;
@@ -81,7 +84,7 @@
     return options;
 }
 
-/// Experts that a rank copies in `time`; one at least.
+/// Number of experts that a rank can copy in `time`, at least one.
 std::uint32_t expertsCopiedWithin(milliseconds time, const gateway::EngineTraits& traits)
 {
     constexpr double bitsPerByte = 8;
@@ -92,21 +95,21 @@
     return std::max(1U, static_cast<std::uint32_t>(static_cast<double>(time.count()) / expertMs));
 }
 
-/// What a pass lasts that carries next to nothing.
+/// Duration of a pass with next to no load.
 Clock::duration basePassTime(const gateway::EngineTraits& traits)
 {
     std::chrono::duration<double, std::milli> pass(traits.stepMs * traits.stepsPerPass);
     return std::chrono::duration_cast<Clock::duration>(pass);
 }
 
-/// True for every rank of a small group, and for one of so many of a large one.
+/// True for every rank of a small group, and for one rank per stride in a large group.
 bool isCountingRank(RankIndex rank, std::uint32_t ranks)
 {
     auto stride = (ranks + maxCountingRanks - 1) / maxCountingRanks;
     return rank.value() % stride == 0;
 }
 
-/// The experts that a rank holds, by layer and slot.
+/// Experts that a rank holds, by layer and slot.
 std::vector<ExpertIndex> heldExperts(const EngineCounts& counts, const MapShape& shape)
 {
     std::vector<ExpertIndex> held(static_cast<std::size_t>(shape.layers) * shape.slotsPerRank, noExpert);
@@ -125,7 +128,8 @@
 
 std::uint64_t initialFence()
 {
-    // The agent that ran here before counted from an earlier time.
+    // The wall clock puts this fence above those of the previous agent in this slot, which counted from an earlier
+    // time.
     auto now = std::chrono::system_clock::now().time_since_epoch();
     return static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(now).count());
 }
@@ -165,13 +169,14 @@
     if (!brief || m_isStopped)
         return;
     bool isNewEntry = m_entries.insert_or_assign(gateway::Endpoint(from.address(), from.port()), Clock::now()).second;
-    // Failure: after a loss of power entries send requests to groups that are still forming, until they hear of them.
+    // Failure: after a power loss, entries send requests to groups that are still forming until they receive the status
+    // of these groups.
     if (isNewEntry)
         m_nextStatusAt = Clock::now();
     bool isOurs = m_view && brief->group == m_view->group && brief->epoch.value() == m_view->epoch;
     if (!isOurs)
         return;
-    // Briefs of several entries add up: each knows the ranks that told it of themselves.
+    // The briefs of several entries are merged, because each entry knows only the ranks that have reported to it.
     if (!m_brief || m_brief->epoch != brief->epoch)
         m_brief = *brief;
     if (m_member)
@@ -183,7 +188,7 @@
 {
     for (auto& rank : brief.ranks) {
         m_member->setAddress(rank.rank, { rank.address.address(), m_settings.group.port() });
-        // The first rank is the one that a coordinator arms first.
+        // Only rank 0 needs a neighbour, because the coordinator arms rank 0 first.
         bool isNeighbour = m_view->rank == RankIndex(0) && rank.rank == RankIndex(1);
         if (isNeighbour && !m_engine->hasNeighbour())
             m_engine->setNeighbour(m_makePort(m_ioContext, rank.address));
@@ -197,7 +202,8 @@
         try {
             co_await pollOnce();
         } catch (const std::exception&) {
-            // The engine is down, restarting or its group has ended: nothing is said of it until it answers again.
+            // The engine is down or restarting, or its group has ended. Its status is not reported until it responds
+            // again.
             if (m_view)
                 log::write(log::Event::EngineSilent, "engine={}:{}", m_settings.engine.address().to_string(), m_settings.engine.port());
             m_view.reset();
@@ -224,7 +230,7 @@
         try {
             co_await engine->repair(view);
         } catch (const std::exception&) {
-            // Tried again at the next look.
+            // Retried at the next poll.
         }
         m_isOrderInProgress = false;
     }
@@ -235,9 +241,9 @@
 
 void RankDaemon::onEngineView(const EngineView& view)
 {
-    // Failure: the engine starts again under its id and forgets its fences, its counts and its map; what this agent holds
-    // of it is of no use, also before the group's new epoch shows. Differences of counts would be wild, and the switch
-    // that was last released would pass for one of the new life.
+    // Failure: the engine restarts under the same id and loses its fences, its counts and its map. The state that this
+    // agent keeps of the engine is stale, even before the engine reports the group's new epoch: differences of counts
+    // would be meaningless, and the switch that was released last would be taken for one of the new incarnation.
     bool isSame = m_view && m_view->startedAt == view.startedAt && m_view->group == view.group && m_view->epoch == view.epoch && m_view->isOpen == view.isOpen;
     m_view = view;
     if (isSame)
@@ -336,7 +342,7 @@
     m_engine.reset();
     m_lastReportedStep = StepNumber();
     m_lastReportedMap.reset();
-    // Its callbacks may be on the stack: it goes when they have returned.
+    // Callbacks of the member may be on the stack, so the member is destroyed after they have returned.
     if (m_member) {
         m_member->stop();
         asio::post(m_ioContext, [member = std::shared_ptr<GroupMember>(std::move(m_member))] {});
@@ -371,7 +377,8 @@
         m_member->onEngineEvent(rank::EngineLost {});
 }
 
-/// Waits until the engine has loaded the weights of `version`, so that the coordinator hears of it at once and need not ask.
+/// Waits until the engine has loaded the weights of `version`, but no longer than `stagingResponseTimeout`, so that the
+/// coordinator is notified at once and need not poll.
 asio::awaitable<std::optional<EngineStatus>> RankDaemon::awaitStaged(std::shared_ptr<RankEngine> engine, MapVersion version, std::optional<EngineStatus> status)
 {
     auto until = Clock::now() + stagingResponseTimeout;
@@ -383,11 +390,13 @@
     co_return status;
 }
 
-/// Counts are read at the own engine, where that is free, and sent to rank 0: read from afar they stop the group.
+/// Reads the counts of this agent's engine and sends them to rank 0. Local reads cost the group nothing; remote reads
+/// would stop it.
 asio::awaitable<void> RankDaemon::reportLoads()
 {
     auto now = Clock::now();
-    // Also before the first step: what is counted in it then tells at once which experts are in demand.
+    // Counts are also reported before the first step, so that the counts of that step show at once which experts are in
+    // demand.
     bool hasChanged = m_view && (m_lastReportedMap != m_view->map || hasPaceChanged(m_view->pace, m_paceSentToRankZero));
     bool isDue = m_view && m_view->step != m_lastReportedStep && now >= m_nextLoadReportAt;
     if (!m_member || (!hasChanged && !isDue))
@@ -421,8 +430,9 @@
 {
     if (!m_view)
         return;
-    // Failure: an engine turns slow and every step of its group with it. Until the entries hear of it they go on placing
-    // work there; told with the next news, they would hear of it after a second, and of its end as late.
+    // Failure: an engine becomes slow and slows every step of its group. Entries keep placing work there until they are
+    // informed. With the next regular report they would learn of the slowdown after a second, and of its end equally
+    // late.
     bool isDue = now >= m_nextStatusAt || hasPaceChanged(m_view->pace, m_paceSentToEntries);
     if (!isDue)
         return;
@@ -434,8 +444,8 @@
     auto bytes = encode(gateway::ControlMessage(status));
     for (auto& [address, receivedAt] : m_entries)
         m_controlSocket->sendEncoded(address, gateway::ControlMessageKind::Rank, bytes);
-    // Until an entry has spoken, those of the settings are told: after a loss of power all begin at once, and the group
-    // has no map of its own before its ranks know each other.
+    // Until an entry has sent a brief, the entries of the settings receive the report: after a power loss all processes
+    // start at once, and the group has no map of its own before its ranks know each other.
     if (!m_entries.empty())
         return;
     for (auto& address : m_settings.entries)
--- a/src/agent/rank-daemon.h
+++ b/src/agent/rank-daemon.h
@@ -23,11 +23,12 @@
 
 namespace swiftloft::agent {
 
-/// Makes the calls to the engine.
+/// Creates the port for the calls to an engine.
 using EnginePortFactory = std::function<EnginePort(boost::asio::io_context& ioContext, const gateway::Endpoint& engine)>;
 
-/// An agent in the slot of a rank: follows its engine, takes part in the group's changes of map and, at rank 0, plans
-/// them. Entries tell it who the other ranks are, and get told how the engine is. Belongs to the control thread.
+/// Agent in the slot of a rank. Polls its engine, takes part in the group's map changes and, at rank 0, plans them.
+/// Receives the addresses of the other ranks from entries and reports the engine's status to the entries. Must be used
+/// on the control thread only.
 class RankDaemon {
 public:
     RankDaemon(boost::asio::io_context& ioContext, const gateway::AgentSettings& settings, EnginePortFactory makePort, Incarnation incarnation);
@@ -64,31 +65,31 @@
 
     std::optional<EngineView> m_view;
     std::optional<gateway::GroupBrief> m_brief;
-    /// Entries that sent a brief, and when.
+    /// Entries that have sent a brief, and the time of the last one.
     std::map<gateway::Endpoint, TimePoint> m_entries;
     TimePoint m_nextStatusAt;
-    /// Pace that was logged last, and that the entries and rank 0 were told last.
+    /// Pace that was logged last, reported to the entries last, and reported to rank 0 last.
     double m_loggedPace { 1 };
     double m_paceSentToEntries { 1 };
     double m_paceSentToRankZero { 1 };
     std::uint64_t m_lastFence { 0 };
 
-    // While the engine's group is open and its members are known.
+    // The members below are set while the engine's group is open and its members are known.
     std::unique_ptr<GroupMember> m_member;
     std::shared_ptr<RankEngine> m_engine;
     bool m_isOrderInProgress { false };
-    /// Step of the last counts told; they say nothing new before the next.
+    /// Step of the last reported counts. Counts don't change before the next step.
     StepNumber m_lastReportedStep;
-    /// Map whose experts were told last.
+    /// Map whose experts were reported last.
     std::optional<MapVersion> m_lastReportedMap;
     TimePoint m_nextLoadReportAt;
-    /// At rank 0.
+    /// Set at rank 0 only.
     std::optional<MapScheduler> m_mapScheduler;
-    /// The highest version that this agent has given to a map.
+    /// Highest version that this agent has assigned to a map.
     std::uint64_t m_lastVersion { 0 };
 };
 
-/// Runs an agent until it is told to stop. Throws `Exception` when an address can't be bound.
+/// Runs an agent until the process receives a stop signal. Throws `Exception` if an address can't be bound.
 void runRankAgent(const gateway::AgentSettings& settings, const EnginePortFactory& makePort, Incarnation incarnation);
 
 } // namespace swiftloft::agent
--- a/src/agent/rank-engine.cc
+++ b/src/agent/rank-engine.cc
@@ -18,22 +18,22 @@
 
 namespace {
 
-/// A read of the engine: it is on the same instance, and an answer takes about a millisecond, also from a busy one.
+/// Timeout of a read, and of a command that is sent only once. The engine is on the same instance, and a response takes
+/// about a millisecond, even from a busy engine.
 constexpr milliseconds responseTimeout { 40 };
-/// A command without an answer after this long is sent again: ten times what an answer takes.
+/// A command without a response after this time is resent. The timeout is ten times the usual response time.
 constexpr milliseconds resendTimeout { 12 };
-/// Sends of one command. With a third of all answers lost, one command in two hundred gets none of these, and is left to the
-/// coordinator's repeat.
+/// Maximum number of sends of one command. If a third of all responses are lost, one command in two hundred gets no
+/// response to any of them and is left to the coordinator's retry.
 constexpr int maxSends = 5;
-/// Weights that are not loaded after this long are asked for again: the command was lost, or gave way to another.
+/// Weights that are not loaded after this time are requested again: the command was lost or superseded by another.
 constexpr milliseconds prepareRetryInterval { 2500 };
-/// Commands of an earlier agent of this slot can have fences at most so much higher, when the time of day was set back
-/// between the two.
+/// Maximum lead of the fences of an earlier agent in this slot, if the time of day was set back between the two agents.
 constexpr std::uint64_t fenceJump = 10'000'000;
-/// A command to the neighbour is not waited for any longer: rank 0 holds the group meanwhile, and the neighbour's own agent
-/// mends what is left.
+/// Timeout of a command to the neighbour. Rank 0 holds the group meanwhile, and the neighbour's own agent repairs what
+/// is left behind.
 constexpr milliseconds neighbourTimeout = resendTimeout;
-/// Time for which only the neighbour is held: a few round trips between instances. Changes take so much longer.
+/// Time for which only the neighbour is held: a few round trips between instances. Each change takes this much longer.
 constexpr milliseconds neighbourHoldTime { 8 };
 
 std::string_view nameOf(EngineCommand::Kind kind)
@@ -75,7 +75,7 @@
 {
     auto view = co_await m_port.read(m_now() + responseTimeout);
     if (!view.isOpen || view.epoch != m_epoch)
-        throw Exception({ ErrorCode::Stale, "the group of the engine has ended" });
+        throw Exception({ ErrorCode::Stale, "the engine's group is not open or has another epoch" });
     co_return view;
 }
 
@@ -115,10 +115,10 @@
     co_return outcome == CommandOutcome::Done;
 }
 
-/// Failure: the engine takes a command, gives no answer and carries it out seconds later; until it is repeated, the group
-/// runs on with the old map or stands at the switch. Repeated by the coordinator, each lost answer cost 75 ms, and the
-/// group stood for 260 ms at a switch. A late copy does no harm where it can but do again what the protocol has gone on
-/// from, or names a step that has begun; what is sent once only says why.
+/// Failure: the engine accepts a command, does not respond and executes the command seconds later. Until the command is
+/// resent, the group keeps the old map or waits at the switch. When only the coordinator retried, each lost response
+/// cost 75 ms, and the group waited 260 ms at a switch. A late copy is harmless if it can only repeat what the protocol
+/// has already moved past, or if it names a step that has begun. Each command that is sent only once states the reason.
 asio::awaitable<CommandOutcome> RankEngine::send(EngineCommand& command, int maxAttempts)
 {
     auto timeout = maxAttempts > 1 ? resendTimeout : responseTimeout;
@@ -145,7 +145,8 @@
         co_await release(released->point);
     else if (auto* cancelled = std::get_if<Cancel>(&order))
         co_await cancel(cancelled->point);
-    // Others are reads here: engines are admitted when their group opens, and drop a loaded map for the next one.
+    // Other orders are executed as reads: engines are admitted when their group opens, and drop a loaded map for the
+    // next one.
     auto view = co_await read();
     co_return statusOf(view);
 }
@@ -169,18 +170,18 @@
     bool mayArm = view.prepared == point.version && view.step < point.step && (!view.armed || view.armed == point);
     if (!mayArm)
         co_return;
-    // Failure: a group that nobody holds reaches the step before all ranks are armed, and tokens of one step are computed
-    // under two maps. The hold comes before any rank is armed, and is confirmed.
+    // Failure: a group that is not held reaches the step before all ranks are armed, and tokens of one step are
+    // computed under two maps. The hold is therefore confirmed before any rank is armed.
     if (m_holdsGroup && view.heldStep != point.step && !co_await hold(point))
         co_return;
     if (!view.armed)
         co_await command(EngineCommand::Kind::Arm, point.version, point.step);
 }
 
-/// Failure: the coordinator's machine, and with it the way to its engine, stands still for seconds right after it has begun
-/// to hold the group; nobody can release the engine, and every stream of the group pauses until the machine wakes. Held
-/// first, another engine shows for a moment whether this machine goes on. If it does not, that engine's agent finds a
-/// hold without a switch and releases it within a tenth of a second.
+/// Failure: the coordinator's machine, and with it the path to its engine, stalls for seconds right after it has begun
+/// to hold the group. Nobody can release the engine, and every stream of the group pauses until the machine resumes.
+/// The neighbour's engine is therefore held first, which tests briefly whether this machine continues. If the machine
+/// stalls, the neighbour's agent finds a hold without a switch and releases it within a tenth of a second.
 asio::awaitable<bool> RankEngine::hold(SwitchPoint point)
 {
     if (!m_neighbour)
@@ -189,7 +190,8 @@
     asio::steady_timer pause(co_await asio::this_coro::executor, Clock::now() + neighbourHoldTime);
     co_await pause.async_wait(asio::use_awaitable);
     bool isHeld = co_await command(EngineCommand::Kind::Hold, point.version, point.step);
-    // Failure: left to its agent, the neighbour's hold would stop the group for as long as that machine stands still.
+    // Failure: if the release were left to the neighbour's agent, the hold would stop the group for as long as the
+    // neighbour's machine stalls.
     co_await sendToNeighbour(EngineCommand::Kind::Release, point.step);
     co_return isHeld;
 }
@@ -197,7 +199,7 @@
 asio::awaitable<void> RankEngine::sendToNeighbour(EngineCommand::Kind kind, StepNumber step)
 {
     try {
-        // Without a fence: the commands of that engine's own agent must not be refused for this one.
+        // Sent without a fence, so that the engine does not reject the commands of its own agent because of this one.
         co_await m_neighbour->command({ kind, m_epoch, 0, MapVersion(0), step, nullptr }, m_now() + neighbourTimeout);
     } catch (const boost::system::system_error& error) {
         log::write(log::Event::EngineOrderLost, "order={}-neighbour problem=\"{}\"", nameOf(kind), log::problemOf(error));
@@ -220,8 +222,9 @@
     bool isReleased = m_releasedPoint == point && view.heldStep != point.step;
     if (view.armed != point || isReleased)
         co_return;
-    // Failure: released first, the rank would enter the step with the new map. Sent once, as a disarm names no step: a late
-    // copy would disarm the rank for the same map at a later step, when others may have been released for it.
+    // Failure: a rank that is released first would enter the step with the new map. The disarm is sent once because it
+    // names no step: a late copy would disarm the rank for the same map at a later step, when others may have been
+    // released for it.
     if (co_await commandOnce(EngineCommand::Kind::Disarm, point.version, point.step) && view.heldStep == point.step)
         co_await command(EngineCommand::Kind::Release, point.version, point.step);
 }
@@ -230,21 +233,23 @@
 {
     if (!needsRepair(view))
         co_return;
-    // Failure: the view was read while an order was on its way, between its hold and its switch. Released by it, the rank
-    // would enter the step with the new map, and the others with the old one. No order is in progress now, so what the
-    // engine shows here is what it holds.
+    // Failure: the view was read while an order was in progress, between its hold and its switch. A release because of
+    // this view would let the rank enter the step with the new map, and the others with the old one. No order is in
+    // progress now, so a second read shows what the engine actually holds.
     view = co_await read();
     if (!needsRepair(view))
         co_return;
-    // Failure: the answer to a hold was lost and the hold came seconds later, or the agent died between the hold and the
-    // switch. The group would stand at that step for good. A rank that is not armed has nothing to wait for.
+    // Failure: the response to a hold was lost and the hold took effect seconds later, or the agent died between the
+    // hold and the switch. The group would stop at that step for ever. A rank that is not armed has nothing to wait
+    // for.
     if (view.heldStep && !view.armed) {
         // Sent once: a late copy would release the rank after it has been armed for that step.
         co_await commandOnce(EngineCommand::Kind::Release, view.map, *view.heldStep);
         co_return;
     }
-    // Failure: this agent has just started and finds a switch without a hold. Its predecessor may have released it, or a
-    // late copy of its command may have armed the rank alone. Held again, the rank waits for the coordinator's word.
+    // Failure: this agent has just started and finds a switch without a hold. The previous agent may have released the
+    // rank, or a late copy of that agent's command may have armed this rank alone. The rank is held again until the
+    // coordinator sends an order.
     co_await command(EngineCommand::Kind::Hold, view.armed->version, view.armed->step);
 }
 
--- a/src/agent/rank-engine.h
+++ b/src/agent/rank-engine.h
@@ -9,34 +9,34 @@
 
 namespace swiftloft::agent {
 
-/// Carries out a rank agent's orders on an engine whose commands are plainer than the orders: it holds the whole group
-/// from one rank, and does not refuse by state what comes late. Belongs to the control thread.
+/// Executes a rank agent's orders on an engine whose commands are simpler than the orders: a hold at one rank holds the
+/// whole group, and the engine does not reject late commands by their state. Must be used on the control thread only.
 ///
-/// Only the engine of rank 0 is held. It is armed before all others, and released when all are armed; a step that one rank
-/// holds is begun by none, so no rank reaches the switch before every rank is armed for it. Commands go one at a time, each
-/// with a higher fence than the one before: once a command is answered, no copy of an earlier one can be carried out any
-/// more.
+/// Only the engine of rank 0 is held. It is armed before all others and released when all are armed. No rank begins a
+/// step that one rank holds, so no rank reaches the switch before every rank is armed for it. Commands are sent one at
+/// a time, each with a higher fence than the previous one: once a command has been answered, no copy of an earlier
+/// command can be executed any more.
 class RankEngine {
 public:
     using Now = std::function<TimePoint()>;
 
     RankEngine(EnginePort port, RankIndex rank, std::uint64_t epoch, std::uint64_t initialFence, Now now = Clock::now);
 
-    /// Before the engine of rank 0 is held, that of another rank is, and for a moment only this: should the machine of rank
-    /// 0 stand still just as it begins to hold the group, what it holds is an engine whose own agent is there to release it.
+    /// Sets the engine of another rank that is held briefly before the engine of rank 0. If the machine of rank 0
+    /// stalls just as it begins to hold the group, the held engine is one whose own agent can release it.
     void setNeighbour(EnginePort port) { m_neighbour = std::move(port); }
     bool hasNeighbour() const { return m_neighbour.has_value(); }
 
-    /// Called for each command that is sent again for want of an answer.
+    /// Sets a hook that is called for each command that is resent because it got no response.
     void setOnResend(std::function<void()> hook) { m_onResend = std::move(hook); }
 
-    /// Carries `order` out and returns the engine's state afterwards. Throws when the engine does not answer.
+    /// Executes `order` and returns the engine's status afterwards. Throws if the engine does not respond.
     boost::asio::awaitable<expertmap::EngineStatus> perform(expertmap::Order order, std::optional<expertmap::ExpertMap> map);
-    /// Mends what a lost answer or an agent that died left behind: a hold without a switch, a switch without a hold.
-    /// Call it while no order is in progress.
+    /// Repairs what a lost response or a failed agent has left behind: a hold without a switch, or a switch without a
+    /// hold. Call while no order is in progress.
     boost::asio::awaitable<void> repair(EngineView view);
 
-    /// True while the engine has been told to load the weights of this map and may still be at it.
+    /// True if the engine has been ordered to load the weights of this map and may still be loading them.
     bool isPreparing(MapVersion version) const { return m_preparing == version; }
     /// Fence of the last command.
     std::uint64_t fence() const { return m_fence; }
@@ -46,10 +46,10 @@
 private:
     boost::asio::awaitable<EngineView> read();
     boost::asio::awaitable<bool> command(EngineCommand::Kind kind, MapVersion version, StepNumber step, const expertmap::ExpertMap* map = nullptr);
-    /// As `command`, but sent once: where a late copy could undo what is done next.
+    /// Like `command`, but sends once. For commands of which a late copy could undo the next one.
     boost::asio::awaitable<bool> commandOnce(EngineCommand::Kind kind, MapVersion version, StepNumber step);
     boost::asio::awaitable<bool> execute(EngineCommand command, int maxAttempts);
-    /// Gives `command` a fence of its own for each of at most so many sends.
+    /// Sends `command` up to `maxAttempts` times, each time with a new fence.
     boost::asio::awaitable<CommandOutcome> send(EngineCommand& command, int maxAttempts);
     boost::asio::awaitable<void> prepare(MapVersion version, const expertmap::ExpertMap& map);
     boost::asio::awaitable<void> arm(expertmap::SwitchPoint point);
@@ -62,13 +62,13 @@
 
     EnginePort m_port;
     std::optional<EnginePort> m_neighbour;
-    /// The engine holds the group in a change, for all of its ranks.
+    /// True if this engine holds the group during a change, for all of its ranks.
     bool m_holdsGroup;
     std::uint64_t m_epoch;
     std::uint64_t m_fence;
     Now m_now;
     std::function<void()> m_onResend;
-    /// Map whose weights are being loaded, and until when that is not asked for again.
+    /// Map whose weights are being loaded, and the time before which the load is not requested again.
     std::optional<MapVersion> m_preparing;
     TimePoint m_nextPrepareAt;
     /// Switch that this agent has released the rank for.
