--- a/test/fake-engine-group.h
+++ b/test/fake-engine-group.h
@@ -10,16 +10,16 @@
 #include <set>
 #include <vector>
 
-/// A fake rank group whose engines take plain commands and step together: a hold at one rank stops all of them, commands
-/// are not conditional on more than the pass and the epoch, and one without an answer is carried out seconds later.
+/// Fake rank group whose engines take simple commands and step together. A hold at one rank stops all ranks, commands
+/// are conditional on no more than the step and the epoch, and a command without a response is executed seconds later.
 namespace swiftloft::agent::rig {
 
-/// Turns of the rig are steps of simulated time.
+/// Simulated time advances in turns of this duration.
 inline constexpr milliseconds turnDuration { 10 };
 inline constexpr int turnsPerStep = 6;
 
 struct CommandFaults {
-    /// Part of the commands that get no answer and are carried out later.
+    /// Share of the commands that get no response and are executed later.
     double delayedShare { 0 };
     int minDelayTurns { 200 };
     int maxDelayTurns { 1200 };
@@ -43,7 +43,7 @@
         return port;
     }
 
-    /// One turn: late commands, copies, and a step when nothing holds it.
+    /// Advances by one turn: executes delayed commands, finishes copies, and begins a step if no rank holds it.
     void advance()
     {
         ++m_turn;
@@ -59,7 +59,7 @@
             advanceStep();
     }
 
-    /// An engine restarts: the group forms anew, with the first map and nothing armed or held.
+    /// Simulates the restart of an engine: the group forms again with the first map, and nothing is armed or held.
     void restart()
     {
         ++m_epoch;
@@ -72,7 +72,7 @@
     std::uint64_t epoch() const { return m_epoch; }
     std::uint64_t steps() const { return m_step; }
     int mixedSteps() const { return m_mixedSteps; }
-    /// Turns at which a step was due and a rank held it.
+    /// Number of turns at which a step was due but held by a rank.
     int heldTurns() const { return m_heldTurns; }
     bool allRanksRun(MapVersion version) const
     {
--- a/test/load-collector_test.cc
+++ b/test/load-collector_test.cc
@@ -27,7 +27,7 @@
     return out;
 }
 
-/// 1 is even; counts on experts of rank 0 alone give 2.
+/// Returns 1 for balanced ranks, and 2 if only experts of rank 0 have counts.
 double observedImbalance(LoadCollector& it)
 {
     it.observe(start);
@@ -36,7 +36,7 @@
 
 } // namespace
 
-TEST_CASE("LoadCollector: the group's map is put together from its ranks")
+TEST_CASE("LoadCollector: the group's map is assembled from the reports of its ranks")
 {
     auto it = makeCollector();
     it.onLoads(loads(0, 1, { 0, 0, 0, 0 }));
@@ -44,12 +44,12 @@
     it.onLoads(loads(1, 1, { 0, 0, 0, 0 }));
     REQUIRE(it.currentMap().has_value());
     CHECK(it.currentMap()->map.layer(LayerIndex(0))[3] == ExpertIndex(1));
-    // One rank already runs the next map: nothing is planned from a mixture.
+    // One rank already runs the next map. No plan may start from a mixture of maps.
     it.onLoads(loads(1, 2, { 0, 0, 0, 0 }, 1, 4100));
     CHECK_FALSE(it.currentMap().has_value());
 }
 
-TEST_CASE("LoadCollector: a rank that says that it is slow weighs more")
+TEST_CASE("LoadCollector: a rank that reports a slow pace weighs more")
 {
     auto it = makeCollector();
     it.onLoads(loads(0, 1, { 0, 0, 0, 0 }));
@@ -61,9 +61,9 @@
     CHECK(observedImbalance(it) == Approx(1.5));
 }
 
-// An older report arrives behind a newer one. Its difference, taken modulo 2^32, would be four billion tokens of one expert
-// and the planner would move everything.
-TEST_CASE("LoadCollector: reports out of order, of another life or of the wrong size add nothing")
+// Guards against an older report that arrives after a newer one. Its difference modulo 2^32 would be four billion
+// tokens of one expert, and the planner would move everything.
+TEST_CASE("LoadCollector: reports out of order, of another incarnation or of the wrong size add nothing")
 {
     auto it = makeCollector();
     it.onLoads(loads(0, 1, { 0, 0, 0, 0 }));
@@ -78,7 +78,7 @@
     CHECK(observedImbalance(it) == Approx(1));
 }
 
-TEST_CASE("LoadCollector: counts that pass 2^32 go on")
+TEST_CASE("LoadCollector: counts continue when they pass 2^32")
 {
     auto it = makeCollector();
     it.onLoads(loads(0, 1, { 0xfffffff0, 0, 0, 0 }));
@@ -88,8 +88,9 @@
     CHECK(observedImbalance(it) == Approx(1));
 }
 
-// One rank's requests happen to ask for one expert. Alone in a window they would pass for a shift of the whole demand.
-TEST_CASE("LoadCollector: the planner sees nothing before half of the ranks that count have told")
+// Guards against a false shift of demand: the requests of one rank happen to use one expert, and no other rank has
+// reported in the same window.
+TEST_CASE("LoadCollector: the planner receives nothing before half of the counting ranks have reported")
 {
     ReplicaPlanner::Options options;
     options.minTokens = 1;
@@ -110,8 +111,9 @@
     CHECK(it.planner().isKnown());
 }
 
-// A rank outside the sample tells only what it holds; the map is known with it and its counts are not missed.
-TEST_CASE("LoadCollector: a report without counts tells what the rank holds")
+// A rank outside the sample reports only the experts that it holds. Its report completes the map, and its counts are
+// not waited for.
+TEST_CASE("LoadCollector: a report without counts lists the experts that the rank holds")
 {
     auto it = makeCollector();
     it.onLoads(loads(0, 1, { 0, 0, 0, 0 }));
@@ -121,8 +123,9 @@
     CHECK(observedImbalance(it) == Approx(2));
 }
 
-// Datagrams of a rank are lost for seconds. Its counts have gone round meanwhile and their difference is chance.
-TEST_CASE("LoadCollector: counts behind a long silence are a new beginning")
+// Guards against meaningless differences of counts: datagrams of a rank are lost for seconds, and its counts wrap
+// around meanwhile.
+TEST_CASE("LoadCollector: counts after a long gap start a new baseline")
 {
     auto it = makeCollector();
     it.onLoads(loads(0, 1, { 0, 0, 0, 0 }));
--- a/test/map-difference_test.cc
+++ b/test/map-difference_test.cc
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("MapDifference: a map put together from its difference is the same map")
+TEST_CASE("MapDifference: applying a difference reproduces the map")
 {
     auto base = mapOf(4, noExpert);
     auto next = mapOf(5, ExpertIndex(0));
@@ -30,9 +30,9 @@
     CHECK(std::equal(map->map.slots().begin(), map->map.slots().end(), next.map.slots().begin(), next.map.slots().end()));
 }
 
-// A damaged datagram names a place outside the map, or takes the last copy of an expert away. Run as a map, tokens of that
-// expert would have nowhere to go.
-TEST_CASE("MapDifference: one that does not fit its map is refused")
+// Guards against damaged datagrams that name a slot outside the map or remove the last copy of an expert. With such a
+// map, tokens of that expert would have no destination.
+TEST_CASE("MapDifference: a difference that does not fit its base map is rejected")
 {
     auto base = mapOf(4, noExpert);
     CHECK_FALSE(applyDifference(base.map, { base.version, MapVersion(5), { { 6, ExpertIndex(0) } } }).has_value());
--- a/test/map-distribution_test.cc
+++ b/test/map-distribution_test.cc
@@ -7,9 +7,9 @@
 using namespace swiftloft;
 using namespace swiftloft::agent;
 
-// Rank 0 of 64 sent a new map 63 times over its link of 6 Mbit/s; what did not fit was lost, ranks asked for whole maps, and
-// the change was given up after four seconds in staging.
-TEST_CASE("Map spread: each rank gets a map from one other, and none sends many in a large group")
+// Guards against an overloaded link of rank 0: in a group of 64 it sent a new map 63 times over its link of 6 Mbit/s.
+// What did not fit was lost, ranks requested whole maps, and the change timed out after four seconds in staging.
+TEST_CASE("Map distribution: each rank receives a map from one other, and none sends many in a large group")
 {
     for (std::uint32_t ranks : { 1U, 2U, 8U, 12U, 24U, 32U, 33U, 64U, 72U }) {
         std::vector<int> received(ranks);
--- a/test/map-scheduler_test.cc
+++ b/test/map-scheduler_test.cc
@@ -14,7 +14,8 @@
 const TimePoint start { seconds(100) };
 constexpr milliseconds basePassTime { 35 };
 
-/// A group of two ranks with two experts each and a spare slot. What they counted goes up by `demand` with each report.
+/// A group of two ranks with two experts and a spare slot each. Every report increases the counts of the ranks by
+/// `demand`.
 struct Rig {
     Rig()
     {
@@ -49,7 +50,7 @@
     TimePoint now { start };
     std::vector<std::uint32_t> counted = std::vector<std::uint32_t>(4);
     std::uint64_t step { 0 };
-    /// Begun last by the engine of rank 0.
+    /// Last step that the engine of rank 0 has begun.
     std::uint64_t engineStep { 0 };
     policy::Generator generator { 3 };
     std::optional<MapScheduler> scheduler;
@@ -64,7 +65,7 @@
 
 } // namespace
 
-TEST_CASE("MapScheduler: a map is wanted where ranks are uneven, and one at a time")
+TEST_CASE("MapScheduler: requests a map for unbalanced ranks, one at a time")
 {
     Rig rig;
     rig.report(uneven);
@@ -82,8 +83,9 @@
     CHECK(rig.requestedMaps[1].version > rig.requestedMaps[0].version);
 }
 
-// A rank can't load the weights of a map. Wanted for ever, it would keep the group from following the next shift.
-TEST_CASE("MapScheduler: a map that does not come about is given up")
+// Guards against a change that blocks all later ones: a rank can't load the weights of a map, and the group would not
+// follow the next shift of demand.
+TEST_CASE("MapScheduler: withdraws a map change that does not complete in time")
 {
     Rig rig;
     rig.report(uneven);
@@ -95,9 +97,10 @@
     CHECK(rig.withdrawals == 1);
 }
 
-// A plan took a quarter of a second on a slot of 0.15 cores and was sought again at every look, on the thread that reads the
-// engine: reads timed out, and counts of the next demand came late.
-TEST_CASE("MapScheduler: a refused plan is not sought again until a while later, or until demand shifts")
+// Guards against planning that starves the reads of the engine: a plan took a quarter of a second on a slot of 0.15
+// cores and was repeated at every poll on the thread that reads the engine. Reads timed out, and counts of the next
+// demand arrived late.
+TEST_CASE("MapScheduler: a rejected plan is repeated only after a delay or a shift of demand")
 {
     Rig rig;
     for (int n = 0; n < 20; ++n) {
@@ -116,7 +119,7 @@
     CHECK(rig.requestedMaps.size() == 1);
 }
 
-TEST_CASE("MapScheduler: ranks whose map is not known are named")
+TEST_CASE("MapScheduler: names the ranks whose map is unknown")
 {
     Rig rig;
     rig.tick(milliseconds(50));
@@ -126,9 +129,9 @@
     CHECK(rig.reasons.size() == 1);
 }
 
-// A group forms anew after a loss of power, with the map that suits no demand, and every stream of it is late until the first
-// change. Rank 0 looks before its ranks have counted anything, finds nothing to plan, and looks again a quarter of a second
-// later.
+// Guards against a late first change: a group forms again after a power loss, with a map that suits no demand, and all
+// of its streams are late until the first change. Rank 0 polled before its ranks had counted anything, found nothing to
+// plan, and tried again only a quarter of a second later.
 TEST_CASE("MapScheduler: plans as soon as demand is known")
 {
     Rig rig;
@@ -140,9 +143,10 @@
     CHECK(rig.requestedMaps.size() == 1);
 }
 
-// Hundreds of groups share the work of a few. Each copies experts with every shift of demand, and nobody is served sooner: a
-// pass that carries little lasts as long with any map. The same unevenness in a busy group makes all of its streams late.
-TEST_CASE("MapScheduler: a group with little work leaves its map alone, and a busy one changes it")
+// Guards against useless copies: hundreds of groups share the work of a few, and each copies experts with every shift
+// of demand. No request gets faster, because a pass with little work lasts as long with any map. The same imbalance in
+// a busy group delays all of its streams.
+TEST_CASE("MapScheduler: a group with little work keeps its map, and a busy group changes it")
 {
     auto requestsWithPassTime = [](milliseconds passTime) {
         Rig rig;
--- a/test/pass-time-estimator_test.cc
+++ b/test/pass-time-estimator_test.cc
@@ -11,7 +11,7 @@
 
 } // namespace
 
-TEST_CASE("PassTimeEstimator: the shortest of late, so that waiting for work does not count")
+TEST_CASE("PassTimeEstimator: returns the shortest recent pass time, so that waiting for work does not count")
 {
     PassTimeEstimator passes;
     CHECK_FALSE(passes.shortest().has_value());
@@ -25,19 +25,19 @@
     };
     run(milliseconds(50), 10);
     CHECK(passes.shortest() == milliseconds(50));
-    // No work for a second, then passes as before.
+    // The group has no work for a second, then runs passes as before.
     now += seconds(1);
     run(milliseconds(50), 10);
     CHECK(passes.shortest() == milliseconds(50));
     run(milliseconds(100), 30);
     CHECK(passes.shortest() == milliseconds(100));
-    // The engine starts again and counts anew.
+    // The engine restarts and counts its steps from zero.
     step = 0;
     run(milliseconds(100), 3);
     CHECK(passes.shortest() == milliseconds(100));
 }
 
-TEST_CASE("PassTimeEstimator: the part of a pass that depends on its load")
+TEST_CASE("PassTimeEstimator: share of a pass that depends on its load")
 {
     CHECK(loadDependentShare(std::nullopt, milliseconds(35)) == 1);
     CHECK(loadDependentShare(milliseconds(70), milliseconds(35)) == Approx(0.5));
--- a/test/rank-engine_test.cc
+++ b/test/rank-engine_test.cc
@@ -17,7 +17,8 @@
 
 namespace {
 
-/// The agents of a group, each with its rank's part in the protocol, over a network that loses, doubles and delays.
+/// The agents of a group, each with its rank's part in the protocol, connected by a network that loses and delays
+/// messages.
 class Fleet {
 public:
     struct Options {
@@ -60,7 +61,7 @@
             requestMap(*m_requestedMap);
     }
 
-    /// The process ends; what it had sent goes on.
+    /// Ends the process. Messages and commands that it has sent remain in transit.
     void killAgent(std::uint32_t r) { m_agents[r].reset(); }
     void freeze(std::uint32_t r, int turns)
     {
@@ -166,7 +167,7 @@
             auto view = co_await it.port.read(TimePoint());
             co_await it.engine->repair(view);
         };
-        // A lost answer is tried again at the next look.
+        // A lost response is retried at the next poll.
         boost::asio::co_spawn(m_ioContext, work(agent), [](const std::exception_ptr&) {});
         runAll();
     }
@@ -249,9 +250,9 @@
     CHECK(fleet.group().mixedSteps() == 0);
 }
 
-// Tokens of one step are computed under two maps: answers are wrong and nobody sees it. A command to switch got no
-// answer, the change went on or was given up, and seconds later the command is carried out at one rank.
-TEST_CASE("Rank engine: no step mixes maps while commands come late, and the group does not stand for good")
+// Guards against steps whose tokens are computed under two maps, which gives wrong output without an error. A command
+// to switch gets no response, the change continues or is withdrawn, and one rank executes the command seconds later.
+TEST_CASE("Rank engine: no step mixes maps while commands are delayed, and the group keeps advancing")
 {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         Fleet::Options options;
@@ -272,9 +273,10 @@
     }
 }
 
-// Engines leave a third of the commands unanswered for a while. Each lost answer was waited for and then repeated by the
-// coordinator; the group stood at the switch meanwhile, and every stream of it paused for longer than its caller bears.
-TEST_CASE("Rank engine: a third of the commands unanswered, a change stops the group for a moment only")
+// Guards against long pauses at a switch: engines leave a third of the commands unanswered for a while. Each lost
+// response was waited for and then retried by the coordinator. The group stopped at the switch meanwhile, and its
+// streams paused for longer than callers tolerate.
+TEST_CASE("Rank engine: with a third of the commands unanswered, a change stops the group only briefly")
 {
     int held = 0;
     int finished = 0;
@@ -296,13 +298,13 @@
         CHECK(fleet.group().mixedSteps() == 0);
     }
     CHECK(finished == fleets);
-    // Steps that were due and not begun, on average of a change.
+    // Bounds the average number of steps per change that were due but not begun.
     INFO("held " << held << " steps in " << fleets << " changes");
     CHECK(held < fleets);
 }
 
-// Agents die and are replaced in the middle of a change, and machines stand still and wake with old beliefs, while
-// commands come late. What a dead agent sent may still be carried out.
+// Guards against mixed maps when agents die and are replaced during a change, and machines stall and resume with
+// outdated state, while commands are delayed. Commands of a dead agent may still be executed.
 TEST_CASE("Rank engine: no step mixes maps when agents die, freeze and restart during a change")
 {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
@@ -341,10 +343,11 @@
     }
 }
 
-// All streams of a group pause for as long as one machine stands still, seconds. The machine is beside a rank other than 0,
-// and stops in the middle of a change, when its rank is armed and rank 0 knows it: its engine has been told to hold the
-// group, and nobody else can reach it. (Before rank 0 knows, nobody can tell whether that rank is about to switch.)
-TEST_CASE("Rank engine: a machine of another rank that stands still during a change does not stop the group")
+// Guards against a pause of all streams of a group for as long as one machine stalls, which is seconds. The machine
+// belongs to a rank other than 0 and stalls during a change, when its rank is armed and rank 0 knows it: its engine had
+// been ordered to hold the group, and no other agent could reach the engine. Before rank 0 knows that the rank is
+// armed, no agent can tell whether the rank is about to switch.
+TEST_CASE("Rank engine: a machine of another rank that stalls during a change does not stop the group")
 {
     constexpr int turnsOfSecond = 1000 / static_cast<int>(rig::turnDuration.count());
     constexpr int frozenTurns = 4 * turnsOfSecond;
@@ -364,7 +367,7 @@
             auto before = fleet.group().heldTurns();
             fleet.freeze(rank.value(), frozenTurns);
             fleet.run(frozenTurns);
-            INFO(ranks << " ranks, rank " << rank.value() << " stands still, seed " << options.seed << ": steps held " << fleet.group().heldTurns() - before);
+            INFO(ranks << " ranks, rank " << rank.value() << " stalls, seed " << options.seed << ": steps held " << fleet.group().heldTurns() - before);
             CHECK(fleet.group().heldTurns() - before <= turnsOfSecond / rig::turnsPerStep);
             fleet.run(changeTurns);
             CHECK(fleet.group().mixedSteps() == 0);
@@ -373,8 +376,9 @@
     }
 }
 
-// Tokens of one step are computed under two maps. Many ranks are armed and only rank 0 holds the group; commands come late,
-// agents die and machines stand still, at engines that check fences and at engines that don't.
+// Guards against steps whose tokens are computed under two maps. Many ranks are armed and only rank 0 holds the group,
+// while commands are delayed, agents die and machines stall, with engines that check fences and with engines that
+// don't.
 TEST_CASE("Rank engine: one held rank keeps groups of 8 to 72 ranks from mixing maps")
 {
     for (std::uint64_t seed = 1; seed <= 240; ++seed) {
@@ -391,7 +395,7 @@
             fleet.requestMap(MapVersion(4096 * change + seed));
             fleet.run(static_cast<int>(random() % 80));
             auto rank = static_cast<std::uint32_t>(random() % options.ranks);
-            // An agent that dies where engines ignore fences is the case that platform.md leaves open.
+            // platform.md leaves one case open: an agent that dies while engines ignore fences.
             if (options.checksFences && random() % 2 == 0) {
                 fleet.killAgent(rank);
                 fleet.run(static_cast<int>(random() % 60));
@@ -408,10 +412,10 @@
     }
 }
 
-// One step is computed under two maps. An agent looks at its engine just between the hold and the switch of an order; when
-// the look is answered the order is done, and the agent takes the hold for one that was left behind. Released by that, the
-// rank switches while others are not armed yet.
-TEST_CASE("Rank engine: what was seen before an order was done releases nothing")
+// Guards against a step that is computed under two maps. An agent reads its engine between the hold and the switch of
+// an order. When the response arrives the order is completed, and the agent mistakes the hold for one that was left
+// behind. If it releases the hold, the rank switches while others are not armed yet.
+TEST_CASE("Rank engine: a view read before an order was completed releases nothing")
 {
     FakeEngineGroup group(2, false, {}, 1);
     auto port = group.portOf(0);
@@ -444,9 +448,9 @@
     CHECK(group.isHeld());
 }
 
-// Engines leave orders unanswered. Rank 0 waits for its neighbour's engine twice while it holds the group, and every stream
-// pauses for as long.
-TEST_CASE("Rank engine: a silent neighbour delays a change for a moment only")
+// Guards against long pauses of all streams: engines leave orders unanswered, and rank 0 waits for its neighbour's
+// engine twice while it holds the group.
+TEST_CASE("Rank engine: an unresponsive neighbour delays a change only briefly")
 {
     FakeEngineGroup group(2, true, {}, 1);
     RankEngine engine(group.portOf(0), RankIndex(0), group.epoch(), 1000, [&] { return group.now(); });
@@ -470,7 +474,8 @@
         group.advance();
     finish(Arm { { target, StepNumber(group.steps() + 3) } }, std::nullopt);
     CHECK(group.isHeld());
-    // Held first, and taken back once rank 0 is held; together within the time that one read of an engine may take.
+    // The neighbour is held first and released once rank 0 is held. Both waits together stay within the time that one
+    // read of an engine may take.
     REQUIRE(waits.size() == 2);
     CHECK(waits[0] + waits[1] < milliseconds(40));
 }
