--- a/src/agent/map-planning.cc
+++ b/src/agent/background-planner.cc
@@ -1,4 +1,4 @@
-#include "src/agent/map-planning.h"
+#include "src/agent/background-planner.h"
 
 #include "src/process/fetch-page.h"
 
@@ -19,13 +19,13 @@
 namespace {
 
 /// Reports taken in one half-life of the fast average, within bounds.
-constexpr int reportsInHalfLife = 4;
-constexpr milliseconds leastReportGap { 50 };
-constexpr milliseconds mostReportGap { 30'000 };
-constexpr milliseconds answerLimit { 1500 };
-constexpr int slowOverFast = 8;
+constexpr int reportsPerHalfLife = 4;
+constexpr milliseconds minReportInterval { 50 };
+constexpr milliseconds maxReportInterval { 30'000 };
+constexpr milliseconds responseTimeout { 1500 };
+constexpr int slowToFastHalfLifeRatio = 8;
 /// Decisions made at once; each leaves what its bound of predictions did not reach to the next.
-constexpr int mostDecisions = 40;
+constexpr int maxPlansPerReport = 40;
 
 std::uint32_t minuteOfDay(std::chrono::minutes utcOffset)
 {
@@ -45,31 +45,31 @@
     options.horizonSteps = static_cast<double>(settings.planningHorizonSteps);
     options.minGain = settings.minimumGain.value();
     options.estimate.fastHalfLife = std::chrono::duration_cast<milliseconds>(settings.loadHalfLife);
-    options.estimate.slowHalfLife = options.estimate.fastHalfLife * slowOverFast;
+    options.estimate.slowHalfLife = options.estimate.fastHalfLife * slowToFastHalfLifeRatio;
     return options;
 }
 
-struct Decision {
+struct PlanningResult {
     std::optional<PlannedMap> planned;
 };
 
-Decision decide(expertmap::Planner& planner, TimePoint now, std::uint32_t minute)
+PlanningResult planNextMap(expertmap::Planner& planner, TimePoint now, std::uint32_t minute)
 {
-    Decision decision;
-    for (int n = 0; n < mostDecisions; ++n) {
+    PlanningResult result;
+    for (int n = 0; n < maxPlansPerReport; ++n) {
         auto plan = planner.plan(now, minute);
         if (plan.reason != expertmap::PlanReason::Moved)
             break;
-        auto experts = plan.moves.size() + (decision.planned ? decision.planned->experts : 0);
-        auto bytes = Bytes(plan.bytes.value() + (decision.planned ? decision.planned->bytes.value() : 0));
-        decision.planned = PlannedMap { *plan.map, experts, bytes };
+        auto experts = plan.moves.size() + (result.planned ? result.planned->movedExperts : 0);
+        auto bytes = Bytes(plan.bytes.value() + (result.planned ? result.planned->movedBytes.value() : 0));
+        result.planned = PlannedMap { *plan.map, experts, bytes };
     }
-    return decision;
+    return result;
 }
 
 } // namespace
 
-MapPlanning::MapPlanning(asio::io_context& ioContext, asio::ip::tcp::endpoint engine, OnPlanned onPlanned)
+BackgroundPlanner::BackgroundPlanner(asio::io_context& ioContext, asio::ip::tcp::endpoint engine, OnPlanned onPlanned)
     : m_ioContext(ioContext)
     , m_engine(std::move(engine))
     , m_onPlanned(std::move(onPlanned))
@@ -77,12 +77,12 @@
 {
 }
 
-MapPlanning::~MapPlanning()
+BackgroundPlanner::~BackgroundPlanner()
 {
     m_pool.join();
 }
 
-std::optional<Error> MapPlanning::begin(const settings::GroupSettings& settings, const expertmap::ExpertMap& current)
+std::optional<Error> BackgroundPlanner::start(const settings::GroupSettings& settings, const expertmap::ExpertMap& current)
 {
     m_planner.reset();
     auto planner = expertmap::Planner::create(plannerOptions(settings), current);
@@ -91,22 +91,22 @@
     m_planner = std::make_shared<expertmap::Planner>(std::move(*planner));
     m_quietHours = settings.quietHours;
     auto halfLife = std::chrono::duration_cast<milliseconds>(settings.loadHalfLife);
-    m_reportEvery = std::clamp(halfLife / reportsInHalfLife, leastReportGap, mostReportGap);
-    m_lastTotal.clear();
+    m_reportInterval = std::clamp(halfLife / reportsPerHalfLife, minReportInterval, maxReportInterval);
+    m_lastTotals.clear();
     if (!std::exchange(m_isPolling, true))
         co_spawn(m_ioContext, poll(), asio::detached);
     return std::nullopt;
 }
 
-void MapPlanning::stop()
+void BackgroundPlanner::stop()
 {
     m_planner.reset();
 }
 
-asio::awaitable<void> MapPlanning::poll()
+asio::awaitable<void> BackgroundPlanner::poll()
 {
     for (;;) {
-        auto dueAt = Clock::now() + m_reportEvery;
+        auto dueAt = Clock::now() + m_reportInterval;
         if (m_planner)
             observe(co_await readTokens());
         m_timer.expires_at(dueAt);
@@ -116,43 +116,43 @@
 }
 
 /// Tokens so far by layer and expert; empty when the engine doesn't say.
-asio::awaitable<std::vector<double>> MapPlanning::readTokens()
+asio::awaitable<std::vector<double>> BackgroundPlanner::readTokens()
 {
     try {
-        auto body = co_await process::fetchPage(m_ioContext, m_engine, "/map/load", Clock::now() + answerLimit);
+        auto body = co_await process::fetchPage(m_ioContext, m_engine, "/map/load", Clock::now() + responseTimeout);
         co_return boost::json::value_to<std::vector<double>>(boost::json::parse(body).at("tokens"));
     } catch (const std::exception&) {
         co_return std::vector<double> {};
     }
 }
 
-void MapPlanning::observe(std::vector<double> total)
+void BackgroundPlanner::observe(std::vector<double> totals)
 {
-    if (!m_planner || total.empty() || m_isPlanning)
+    if (!m_planner || totals.empty() || m_isPlanning)
         return;
-    auto last = std::exchange(m_lastTotal, total);
+    auto lastTotals = std::exchange(m_lastTotals, totals);
     // A count that shrank was made by a new life of the engine: the next report starts from it.
-    bool isContinued = last.size() == total.size() && std::equal(last.begin(), last.end(), total.begin(), std::less_equal<>());
-    if (!isContinued || last == total)
+    bool isContinuous = lastTotals.size() == totals.size() && std::equal(lastTotals.begin(), lastTotals.end(), totals.begin(), std::less_equal<>());
+    if (!isContinuous || lastTotals == totals)
         return;
-    std::transform(total.begin(), total.end(), last.begin(), total.begin(), std::minus<>());
-    plan(std::move(total));
+    std::transform(totals.begin(), totals.end(), lastTotals.begin(), totals.begin(), std::minus<>());
+    plan(std::move(totals));
 }
 
-void MapPlanning::plan(std::vector<double> tokens)
+void BackgroundPlanner::plan(std::vector<double> tokens)
 {
     m_isPlanning = true;
     auto minute = minuteOfDay(m_quietHours.utcOffset);
     asio::post(m_pool, [this, planner = m_planner, mayPlan = m_mayPlan, minute, tokens = std::move(tokens)] {
         auto now = Clock::now();
-        Decision decision;
+        PlanningResult result;
         if (!planner->observe(now, tokens) && mayPlan)
-            decision = decide(*planner, now, minute);
-        asio::post(m_ioContext, [this, planner, decision] {
+            result = planNextMap(*planner, now, minute);
+        asio::post(m_ioContext, [this, planner, result] {
             m_isPlanning = false;
             // Settings changed meanwhile: the plan was made under the old ones.
-            if (planner == m_planner && decision.planned)
-                m_onPlanned(*decision.planned);
+            if (planner == m_planner && result.planned)
+                m_onPlanned(*result.planned);
         });
     });
 }
--- a/src/agent/map-planning.h
+++ b/src/agent/background-planner.h
@@ -19,21 +19,21 @@
 /// A map that is worth changing to.
 struct PlannedMap {
     expertmap::ExpertMap map;
-    std::size_t experts { 0 };
-    Bytes bytes;
+    std::size_t movedExperts { 0 };
+    Bytes movedBytes;
 };
 
 /// Reads the tokens of each expert from the engine of rank 0 and plans the group's next map. Belongs to the control
 /// thread; decisions, which may take 50 ms each, are made on a thread of their own.
-class MapPlanning {
+class BackgroundPlanner {
 public:
     using OnPlanned = std::function<void(const PlannedMap&)>;
 
-    MapPlanning(boost::asio::io_context& ioContext, boost::asio::ip::tcp::endpoint engine, OnPlanned onPlanned);
-    ~MapPlanning();
+    BackgroundPlanner(boost::asio::io_context& ioContext, boost::asio::ip::tcp::endpoint engine, OnPlanned onPlanned);
+    ~BackgroundPlanner();
 
     /// Begins anew from `current`. An option out of range leaves the group without plans, and is returned.
-    std::optional<Error> begin(const settings::GroupSettings& settings, const expertmap::ExpertMap& current);
+    std::optional<Error> start(const settings::GroupSettings& settings, const expertmap::ExpertMap& current);
     void stop();
     bool isActive() const { return m_planner != nullptr; }
     /// While false, reports are taken but nothing is planned.
@@ -42,7 +42,7 @@
 private:
     boost::asio::awaitable<void> poll();
     boost::asio::awaitable<std::vector<double>> readTokens();
-    void observe(std::vector<double> total);
+    void observe(std::vector<double> totals);
     void plan(std::vector<double> tokens);
 
     boost::asio::io_context& m_ioContext;
@@ -51,8 +51,8 @@
     boost::asio::steady_timer m_timer;
     std::shared_ptr<expertmap::Planner> m_planner;
     settings::QuietHours m_quietHours;
-    milliseconds m_reportEvery { 0 };
-    std::vector<double> m_lastTotal;
+    milliseconds m_reportInterval { 0 };
+    std::vector<double> m_lastTotals;
     bool m_mayPlan { false };
     bool m_isPlanning { false };
     bool m_isPolling { false };
--- a/src/agent/daemon.cc
+++ b/src/agent/daemon.cc
@@ -10,7 +10,7 @@
 
 constexpr milliseconds tickInterval { 100 };
 /// How long after its first use a client's own key is kept from running again; docs/REFERENCE.md promises it.
-constexpr seconds keyRetention { 120 };
+constexpr seconds clientKeyRetention { 120 };
 
 ReducerOptions reducerOptions(const process::ProcessConfig& config, Incarnation incarnation)
 {
@@ -18,7 +18,7 @@
     options.self = BackendServerId(config.id);
     options.incarnation = incarnation;
     options.claims.hasStartupGracePeriod = !config.isFirstStart;
-    options.claims.retention = keyRetention;
+    options.claims.retention = clientKeyRetention;
     return options;
 }
 
@@ -27,30 +27,30 @@
 Daemon::Daemon(process::ProcessConfig config, Incarnation incarnation)
     : m_config(std::move(config))
     , m_incarnation(incarnation)
-    , m_control(1)
+    , m_controlContext(1)
     , m_reducer(Reducer::create(reducerOptions(m_config, incarnation), Clock::now()).value())
-    , m_status(m_control, m_config.listen)
-    , m_monitor(m_control, *m_config.backendServer, [this](const Event& event) { apply(event); })
-    , m_maps(m_control, { m_config.id, incarnation, *m_config.rpc, *m_config.backendServer })
-    , m_timer(m_control)
+    , m_statusServer(m_controlContext, m_config.listen)
+    , m_engineMonitor(m_controlContext, *m_config.backendServer, [this](const Event& event) { apply(event); })
+    , m_mapControl(m_controlContext, { m_config.id, incarnation, *m_config.rpc, *m_config.backendServer })
+    , m_timer(m_controlContext)
 {
     addStatusPages();
 }
 
 void Daemon::run()
 {
-    m_signals = std::make_unique<process::StopSignals>(m_control, [this](int count) {
+    m_signals = std::make_unique<process::StopSignals>(m_controlContext, [this](int count) {
         log::write(log::Event::ProcessStopping, "signals={}", count);
         if (count > 1)
             return m_traffic.stop();
-        leave();
+        startLeaving();
     });
     startFleetControl();
     std::thread traffic([this] { runTraffic(); });
-    m_monitor.start();
+    m_engineMonitor.start();
     tick();
-    m_control.run();
-    m_maps.stop();
+    m_controlContext.run();
+    m_mapControl.stop();
     m_fleetControl->stop();
     traffic.join();
 }
@@ -61,17 +61,17 @@
     hooks.onSettings = [this](Revision, const settings::Tree& tree) {
         m_settings = tree;
         applySettings();
-        m_maps.setSettings(tree);
+        m_mapControl.setSettings(tree);
     };
     hooks.onViewChanged = [this](const std::shared_ptr<const membership::View>& view) {
         if (auto self = view->find(membership::NodeId(m_config.id)))
             m_serviceName = self->listed->service;
         applySettings();
-        apply(ListLearned { policy::ListRevision(view->listRevision.value()), Clock::now() });
-        m_maps.setView(view);
+        apply(InstanceListReceived { policy::ListRevision(view->listRevision.value()), Clock::now() });
+        m_mapControl.setView(view);
     };
     hooks.onLeaving = [this] { apply(LeaveRequested { Clock::now() }); };
-    m_fleetControl = std::make_unique<daemon::FleetControl>(m_control, m_config, membership::Role::Agent, m_incarnation, std::move(hooks));
+    m_fleetControl = std::make_unique<daemon::FleetControl>(m_controlContext, m_config, membership::Role::Agent, m_incarnation, std::move(hooks));
 }
 
 void Daemon::applySettings()
@@ -85,7 +85,7 @@
     });
 }
 
-void Daemon::leave()
+void Daemon::startLeaving()
 {
     apply(LeaveRequested { Clock::now() });
     m_fleetControl->leave();
@@ -103,16 +103,16 @@
             m_listener.reset();
             m_service.reset();
         });
-    m_control.stop();
+    m_controlContext.stop();
 }
 
 void Daemon::post(std::vector<Event> events)
 {
-    boost::asio::post(m_control, [this, events = std::move(events)] {
+    boost::asio::post(m_controlContext, [this, events = std::move(events)] {
         auto effects = std::make_shared<Effects>();
         for (auto& event : events)
             m_reducer.apply(event, *effects);
-        carryOut(std::move(effects));
+        execute(std::move(effects));
     });
 }
 
@@ -120,21 +120,21 @@
 {
     auto effects = std::make_shared<Effects>();
     m_reducer.apply(event, *effects);
-    carryOut(std::move(effects));
+    execute(std::move(effects));
 }
 
-void Daemon::carryOut(std::shared_ptr<const Effects> effects)
+void Daemon::execute(std::shared_ptr<const Effects> effects)
 {
     if (effects->empty())
         return;
     for (auto& effect : *effects) {
         if (std::holds_alternative<ProbeEngine>(effect))
-            m_monitor.probeNow();
+            m_engineMonitor.probeNow();
     }
     boost::asio::post(m_traffic.ioContext(), [this, effects = std::move(effects)] {
         for (auto& effect : *effects) {
             if (m_service)
-                m_service->perform(effect);
+                m_service->execute(effect);
         }
     });
 }
@@ -151,14 +151,14 @@
 
 void Daemon::addStatusPages()
 {
-    m_status.add("/healthz", [] { return process::StatusAnswer { 200, "text/plain", "ok\n" }; });
-    m_status.add("/readyz", [this] {
+    m_statusServer.add("/healthz", [] { return process::StatusAnswer { 200, "text/plain", "ok\n" }; });
+    m_statusServer.add("/readyz", [this] {
         if (m_reducer.isLeaving())
             return process::StatusAnswer { 503, "text/plain", "leaving\n" };
         return process::StatusAnswer { 200, "text/plain", "ready\n" };
     });
-    m_status.add("/swiftloft/v1/maps", [this] { return process::StatusAnswer { 200, "application/json", m_maps.toJson() }; });
-    m_status.add("/metrics", [this] {
+    m_statusServer.add("/swiftloft/v1/maps", [this] { return process::StatusAnswer { 200, "application/json", m_mapControl.toJson() }; });
+    m_statusServer.add("/metrics", [this] {
         m_metrics.set("swiftloft_agent_running", {}, static_cast<double>(m_reducer.running()));
         return process::StatusAnswer { 200, "text/plain; version=0.0.4", m_metrics.text() };
     });
--- a/src/agent/daemon.h
+++ b/src/agent/daemon.h
@@ -31,9 +31,9 @@
 private:
     void post(std::vector<Event> events);
     void apply(const Event& event);
-    void carryOut(std::shared_ptr<const Effects> effects);
+    void execute(std::shared_ptr<const Effects> effects);
     void startFleetControl();
-    void leave();
+    void startLeaving();
     void applySettings();
     void tick();
     void addStatusPages();
@@ -41,12 +41,12 @@
 
     process::ProcessConfig m_config;
     Incarnation m_incarnation;
-    boost::asio::io_context m_control;
+    boost::asio::io_context m_controlContext;
     Reducer m_reducer;
     process::Metrics m_metrics;
-    process::StatusServer m_status;
-    EngineMonitor m_monitor;
-    MapControl m_maps;
+    process::StatusServer m_statusServer;
+    EngineMonitor m_engineMonitor;
+    MapControl m_mapControl;
     boost::asio::steady_timer m_timer;
     std::unique_ptr<process::StopSignals> m_signals;
     std::unique_ptr<daemon::FleetControl> m_fleetControl;
--- a/src/agent/engine-client.cc
+++ b/src/agent/engine-connection-pool.cc
@@ -1,4 +1,4 @@
-#include "src/agent/engine-client.h"
+#include "src/agent/engine-connection-pool.h"
 
 #include <boost/asio/use_awaitable.hpp>
 
@@ -22,13 +22,13 @@
 
 } // namespace
 
-EngineClient::EngineClient(asio::io_context& ioContext, asio::ip::tcp::endpoint endpoint)
+EngineConnectionPool::EngineConnectionPool(asio::io_context& ioContext, asio::ip::tcp::endpoint endpoint)
     : m_ioContext(ioContext)
     , m_endpoint(std::move(endpoint))
 {
 }
 
-asio::awaitable<beast::tcp_stream> EngineClient::connect(TimePoint deadline, bool allowsReuse)
+asio::awaitable<beast::tcp_stream> EngineConnectionPool::acquire(TimePoint deadline, bool allowsReuse)
 {
     while (allowsReuse && !m_idle.empty()) {
         auto stream = std::move(m_idle.back());
@@ -45,9 +45,9 @@
     co_return stream;
 }
 
-void EngineClient::release(beast::tcp_stream stream)
+void EngineConnectionPool::release(beast::tcp_stream stream)
 {
-    if (m_idle.size() >= mostIdle)
+    if (m_idle.size() >= maxIdle)
         return;
     stream.expires_never();
     m_idle.push_back(std::move(stream));
--- a/src/agent/engine-client.h
+++ b/src/agent/engine-connection-pool.h
@@ -12,13 +12,13 @@
 namespace swiftloft::agent {
 
 /// Connections to the engine in whose slot the agent runs. Belongs to the traffic thread.
-class EngineClient {
+class EngineConnectionPool {
 public:
-    EngineClient(boost::asio::io_context& ioContext, boost::asio::ip::tcp::endpoint endpoint);
+    EngineConnectionPool(boost::asio::io_context& ioContext, boost::asio::ip::tcp::endpoint endpoint);
 
     /// A connected stream whose deadline is set to `deadline`. With `allowsReuse`, it may be one that was kept open;
     /// the engine may just have closed it, so only a request that may run again should take it.
-    boost::asio::awaitable<boost::beast::tcp_stream> connect(TimePoint deadline, bool allowsReuse);
+    boost::asio::awaitable<boost::beast::tcp_stream> acquire(TimePoint deadline, bool allowsReuse);
 
     /// Keeps a stream open whose last answer was read whole.
     void release(boost::beast::tcp_stream stream);
@@ -26,7 +26,7 @@
     const boost::asio::ip::tcp::endpoint& endpoint() const { return m_endpoint; }
 
 private:
-    static constexpr std::size_t mostIdle = 32;
+    static constexpr std::size_t maxIdle = 32;
 
     boost::asio::io_context& m_ioContext;
     boost::asio::ip::tcp::endpoint m_endpoint;
--- a/src/agent/engine-monitor.cc
+++ b/src/agent/engine-monitor.cc
@@ -20,11 +20,11 @@
 namespace {
 
 constexpr milliseconds pollInterval { 200 };
-constexpr milliseconds answerLimit { 1500 };
+constexpr milliseconds responseTimeout { 1500 };
 /// Weight of the newest report in the running mean of an engine's speed.
-constexpr double speedWeight = 0.2;
+constexpr double speedSampleWeight = 0.2;
 
-double numberIn(const boost::json::object& object, const char* name)
+double numberAt(const boost::json::object& object, const char* name)
 {
     auto value = object.if_contains(name);
     return value && value->is_number() ? value->to_number<double>() : 0;
@@ -49,7 +49,7 @@
 {
     for (;;) {
         auto probedAt = Clock::now();
-        enter(co_await probe(), probedAt);
+        reportState(co_await probe(), probedAt);
         m_timer.expires_at(probedAt + pollInterval);
         boost::system::error_code ec;
         co_await m_timer.async_wait(asio::redirect_error(use_awaitable, ec));
@@ -59,41 +59,41 @@
 asio::awaitable<EngineMonitor::State> EngineMonitor::probe()
 {
     try {
-        learnSpeed(co_await process::fetchPage(m_ioContext, m_engine, "/load", Clock::now() + answerLimit));
+        updateSpeed(co_await process::fetchPage(m_ioContext, m_engine, "/load", Clock::now() + responseTimeout));
         co_return State::Up;
     } catch (const Exception&) {
         // A plain server has no load page; whatever it answers, it is up.
         co_return State::Up;
     } catch (const boost::system::system_error& error) {
-        co_return error.code() == beast::error::timeout ? State::Silent : State::Gone;
+        co_return error.code() == beast::error::timeout ? State::Unresponsive : State::Unreachable;
     }
 }
 
 // Engines report what they turn out now, which is little while little runs. The speed that says how long a backlog takes
 // is that of a full batch: tokens a second of one request, times the batch. A plain server has no load page; whatever it
 // answers, it is up.
-void EngineMonitor::learnSpeed(const std::string& body)
+void EngineMonitor::updateSpeed(const std::string& body)
 {
     boost::json::error_code ec;
     auto value = boost::json::parse(body, ec);
     auto object = ec ? nullptr : value.if_object();
     if (!object)
         return;
-    auto running = numberIn(*object, "running");
-    auto batch = numberIn(*object, "batch");
-    auto now = numberIn(*object, "tokens_per_second");
-    if (running <= 0 || batch <= 0 || now <= 0)
+    auto running = numberAt(*object, "running");
+    auto batch = numberAt(*object, "batch");
+    auto currentSpeed = numberAt(*object, "tokens_per_second");
+    if (running <= 0 || batch <= 0 || currentSpeed <= 0)
         return;
-    auto full = now / std::min(running, batch) * batch;
-    m_tokensPerSecond = m_tokensPerSecond <= 0 ? full : m_tokensPerSecond + speedWeight * (full - m_tokensPerSecond);
+    auto fullBatchSpeed = currentSpeed / std::min(running, batch) * batch;
+    m_tokensPerSecond = m_tokensPerSecond <= 0 ? fullBatchSpeed : m_tokensPerSecond + speedSampleWeight * (fullBatchSpeed - m_tokensPerSecond);
 }
 
-void EngineMonitor::enter(State state, TimePoint probedAt)
+void EngineMonitor::reportState(State state, TimePoint probedAt)
 {
     if (state == State::Up)
         m_onEvent(EngineUp { m_tokensPerSecond, probedAt, Clock::now() });
     else
-        m_onEvent(EngineDown { state == State::Gone, probedAt, Clock::now() });
+        m_onEvent(EngineDown { state == State::Unreachable, probedAt, Clock::now() });
 }
 
 } // namespace swiftloft::agent
--- a/src/agent/engine-monitor.h
+++ b/src/agent/engine-monitor.h
@@ -26,15 +26,15 @@
     enum class State {
         Up,
         /// The process answers no connection.
-        Gone,
+        Unreachable,
         /// Connections open, but no answer comes in time.
-        Silent,
+        Unresponsive,
     };
 
     boost::asio::awaitable<void> poll();
     boost::asio::awaitable<State> probe();
-    void enter(State state, TimePoint probedAt);
-    void learnSpeed(const std::string& body);
+    void reportState(State state, TimePoint probedAt);
+    void updateSpeed(const std::string& body);
 
     boost::asio::io_context& m_ioContext;
     boost::asio::ip::tcp::endpoint m_engine;
--- a/src/agent/engine-orders.cc
+++ b/src/agent/engine-order-client.cc
@@ -1,4 +1,4 @@
-#include "src/agent/engine-orders.h"
+#include "src/agent/engine-order-client.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -17,10 +17,10 @@
 namespace {
 
 /// Bound of one exchange. The rank agent reads the engine anew long before; this only frees the connection.
-constexpr milliseconds answerLimit { 1000 };
+constexpr milliseconds responseTimeout { 1000 };
 constexpr unsigned httpVersion11 = 11;
 
-bool isAnswer(http::status status)
+bool isResponseStatus(http::status status)
 {
     // A refusal for an old fencing number carries the engine's status and its highest number as well.
     return status == http::status::ok || status == http::status::conflict;
@@ -28,7 +28,7 @@
 
 } // namespace
 
-struct EngineOrders::Connection {
+struct EngineOrderClient::Connection {
     explicit Connection(asio::io_context& ioContext)
         : stream(ioContext)
     {
@@ -40,16 +40,16 @@
     bool isBusy { false };
 };
 
-EngineOrders::EngineOrders(asio::io_context& ioContext, asio::ip::tcp::endpoint engine, Hooks hooks)
+EngineOrderClient::EngineOrderClient(asio::io_context& ioContext, asio::ip::tcp::endpoint engine, Hooks hooks)
     : m_ioContext(ioContext)
     , m_engine(std::move(engine))
     , m_hooks(std::move(hooks))
 {
 }
 
-EngineOrders::~EngineOrders() = default;
+EngineOrderClient::~EngineOrderClient() = default;
 
-void EngineOrders::write(const expertmap::EngineOrder& order, const expertmap::ExpertMap* map)
+void EngineOrderClient::send(const expertmap::EngineOrder& order, const expertmap::ExpertMap* map)
 {
     // Failure: an engine that hangs answers much later. On the same connection its answer would be read as that of a
     // newer order, so the connection goes with the order that was given up.
@@ -63,11 +63,11 @@
     asio::co_spawn(m_ioContext, exchange(m_connection, order.id, engine_json::toJson(order, map)), asio::detached);
 }
 
-asio::awaitable<void> EngineOrders::exchange(std::shared_ptr<Connection> connection, std::uint64_t id, std::string body)
+asio::awaitable<void> EngineOrderClient::exchange(std::shared_ptr<Connection> connection, std::uint64_t id, std::string body)
 {
     try {
         auto& stream = connection->stream;
-        stream.expires_at(Clock::now() + answerLimit);
+        stream.expires_at(Clock::now() + responseTimeout);
         if (!connection->isOpen)
             co_await stream.async_connect(m_engine, use_awaitable);
         connection->isOpen = true;
@@ -81,23 +81,23 @@
         auto answer = engine_json::parseAnswer(response.body());
         if (connection != m_connection)
             co_return;
-        if (!isAnswer(response.result()) || !answer || !response.keep_alive()) {
-            lose(connection);
+        if (!isResponseStatus(response.result()) || !answer || !response.keep_alive()) {
+            handleDisconnect(connection);
             co_return;
         }
         connection->isBusy = false;
-        m_hooks.onAnswered({ id, answer->status, answer->fence });
+        m_hooks.onResponse({ id, answer->status, answer->fence });
     } catch (const boost::system::system_error&) {
-        lose(connection);
+        handleDisconnect(connection);
     }
 }
 
-void EngineOrders::lose(const std::shared_ptr<Connection>& connection)
+void EngineOrderClient::handleDisconnect(const std::shared_ptr<Connection>& connection)
 {
     if (connection != m_connection)
         return;
     m_connection.reset();
-    m_hooks.onLost();
+    m_hooks.onDisconnected();
 }
 
 } // namespace swiftloft::agent
--- a/src/agent/engine-orders.h
+++ b/src/agent/engine-order-client.h
@@ -15,25 +15,25 @@
 /// The one connection on which a rank agent's orders reach its engine. Belongs to the control thread.
 ///
 /// An order is never sent twice: what became of one whose connection broke is read from the engine afterwards.
-class EngineOrders {
+class EngineOrderClient {
 public:
     struct Hooks {
-        std::function<void(const expertmap::rank::EngineAnswered&)> onAnswered;
+        std::function<void(const expertmap::rank::EngineAnswered&)> onResponse;
         /// The connection broke; the next order opens another.
-        std::function<void()> onLost;
+        std::function<void()> onDisconnected;
     };
 
-    EngineOrders(boost::asio::io_context& ioContext, boost::asio::ip::tcp::endpoint engine, Hooks hooks);
-    ~EngineOrders();
+    EngineOrderClient(boost::asio::io_context& ioContext, boost::asio::ip::tcp::endpoint engine, Hooks hooks);
+    ~EngineOrderClient();
 
     /// Writes an order. One that still waits for its answer is given up with its connection.
-    void write(const expertmap::EngineOrder& order, const expertmap::ExpertMap* map);
+    void send(const expertmap::EngineOrder& order, const expertmap::ExpertMap* map);
 
 private:
     struct Connection;
 
     boost::asio::awaitable<void> exchange(std::shared_ptr<Connection> connection, std::uint64_t id, std::string body);
-    void lose(const std::shared_ptr<Connection>& connection);
+    void handleDisconnect(const std::shared_ptr<Connection>& connection);
 
     boost::asio::io_context& m_ioContext;
     boost::asio::ip::tcp::endpoint m_engine;
--- a/src/agent/run.cc
+++ b/src/agent/engine-run.cc
@@ -1,4 +1,4 @@
-#include "src/agent/run.h"
+#include "src/agent/engine-run.h"
 
 #include <boost/asio/bind_cancellation_slot.hpp>
 #include <boost/asio/co_spawn.hpp>
@@ -19,7 +19,7 @@
 namespace {
 
 constexpr std::size_t chunkBytes = 16 * 1024;
-constexpr std::size_t mostHeaderBytes = 64 * 1024;
+constexpr std::size_t maxHeaderBytes = 64 * 1024;
 
 bool isHopByHop(http::field field)
 {
@@ -37,97 +37,97 @@
     }
 }
 
-std::size_t countEndToEnd(const http::fields& fields)
+std::size_t countEndToEndFields(const http::fields& fields)
 {
     return std::count_if(fields.begin(), fields.end(), [](auto& it) { return !isHopByHop(it.name()); });
 }
 
-kj::StringPtr toKj(beast::string_view text, std::string& holder)
+kj::StringPtr toKj(beast::string_view text, std::string& storage)
 {
-    holder.assign(text.data(), text.size());
-    return { holder.data(), holder.size() };
+    storage.assign(text.data(), text.size());
+    return { storage.data(), storage.size() };
 }
 
-void fillHead(rpc::schema::ResponseHead::Builder head, const http::response_header<>& from)
+void fillResponseHead(rpc::schema::ResponseHead::Builder head, const http::response_header<>& from)
 {
     head.setStatus(from.result_int());
-    auto headers = head.initHeaders(countEndToEnd(from));
+    auto headers = head.initHeaders(countEndToEndFields(from));
     std::size_t n = 0;
-    std::string holder;
+    std::string storage;
     for (auto& field : from) {
         if (isHopByHop(field.name()))
             continue;
         auto header = headers[n++];
-        header.setName(toKj(field.name_string(), holder));
-        header.setValue(toKj(field.value(), holder));
+        header.setName(toKj(field.name_string(), storage));
+        header.setValue(toKj(field.value(), storage));
     }
 }
 
 } // namespace
 
-Run::Run(asio::io_context& ioContext, EngineClient& engine, EngineRequest request, TimePoint deadline, std::size_t bufferBytes)
+EngineRun::EngineRun(asio::io_context& ioContext, EngineConnectionPool& engine, EngineRequest request, TimePoint deadline, std::size_t bufferBytes)
     : m_ioContext(ioContext)
     , m_engine(engine)
     , m_request(std::move(request))
     , m_deadline(deadline)
     , m_bufferBytes(bufferBytes)
     , m_buffer(bufferBytes)
-    , m_room(ioContext)
+    , m_bufferSpaceTimer(ioContext)
 {
 }
 
-Run::~Run() = default;
+EngineRun::~EngineRun() = default;
 
-void Run::start()
+void EngineRun::start()
 {
     if (m_isStopped)
         return;
     m_isStarted = true;
     co_spawn(m_ioContext, execute(),
-        asio::bind_cancellation_slot(m_cancellation.slot(), [self = shared_from_this()](const std::exception_ptr&, RunEnd end) {
-            self->finish(end);
+        asio::bind_cancellation_slot(m_cancellation.slot(), [self = shared_from_this()](const std::exception_ptr&, RunOutcome outcome) {
+            self->finish(outcome);
         }));
 }
 
-void Run::stop()
+void EngineRun::stop()
 {
     if (m_isStopped)
         return;
     m_isStopped = true;
     if (!m_isStarted)
-        return finish(RunEnd::NotReached);
+        return finish(RunOutcome::NotReached);
     m_cancellation.emit(asio::cancellation_type::terminal);
 }
 
-asio::awaitable<RunEnd> Run::execute()
+asio::awaitable<RunOutcome> EngineRun::execute()
 {
     try {
-        auto stream = co_await m_engine.connect(m_deadline, m_request.isRepeatable);
+        auto stream = co_await m_engine.acquire(m_deadline, m_request.isRepeatable);
         m_wasSent = true;
         co_await http::async_write(stream, m_request.message, use_awaitable);
         co_await readBody(stream);
-        co_return RunEnd::Answered;
+        co_return RunOutcome::Answered;
     } catch (const boost::system::system_error& error) {
         if (m_isStopped)
-            co_return m_wasSent ? RunEnd::Cancelled : RunEnd::NotReached;
+            co_return m_wasSent ? RunOutcome::Cancelled : RunOutcome::NotReached;
         if (!m_wasSent)
-            co_return RunEnd::NotReached;
-        co_return error.code() == beast::error::timeout ? RunEnd::DeadlinePassed : RunEnd::Broken;
+            co_return RunOutcome::NotReached;
+        co_return error.code() == beast::error::timeout ? RunOutcome::DeadlinePassed : RunOutcome::Broken;
     }
 }
 
-asio::awaitable<void> Run::readBody(beast::tcp_stream& stream)
+asio::awaitable<void> EngineRun::readBody(beast::tcp_stream& stream)
 {
     beast::flat_buffer buf;
     http::response_parser<http::buffer_body> parser;
-    parser.header_limit(mostHeaderBytes);
+    parser.header_limit(maxHeaderBytes);
     parser.body_limit(boost::none);
     co_await http::async_read_header(stream, buf, parser, use_awaitable);
     // The head waits for the first bytes of the body or the end and travels with them.
-    m_head = parser.get().base();
+    m_responseHead = parser.get().base();
     std::array<char, chunkBytes> chunk;
     while (!parser.is_done()) {
-        co_await waitForRoom();
+        co_await waitForBufferSpace();
         parser.get().body().data = chunk.data();
         parser.get().body().size = chunk.size();
         parser.get().body().more = true;
@@ -144,99 +144,99 @@
         m_engine.release(std::move(stream));
 }
 
-bool Run::hasRoom() const
+bool EngineRun::hasBufferSpace() const
 {
-    auto served = m_served;
+    auto servedOffset = m_servedOffset;
     auto isAttached = false;
     for (auto& weak : m_subscribers) {
         auto subscriber = weak.lock();
         if (!subscriber)
             continue;
-        served = isAttached ? std::min(served, subscriber->offset) : subscriber->offset;
+        servedOffset = isAttached ? std::min(servedOffset, subscriber->offset) : subscriber->offset;
         isAttached = true;
     }
-    return m_buffer.end() < served + m_bufferBytes;
+    return m_buffer.end() < servedOffset + m_bufferBytes;
 }
 
 // Reading on while no call takes the answer would drop bytes that a new connection is about to ask for; so the engine's
 // connection waits, until a call attaches or the deadline passes.
-asio::awaitable<void> Run::waitForRoom()
+asio::awaitable<void> EngineRun::waitForBufferSpace()
 {
-    while (!hasRoom()) {
-        m_room.expires_at(m_deadline);
+    while (!hasBufferSpace()) {
+        m_bufferSpaceTimer.expires_at(m_deadline);
         boost::system::error_code ec;
-        co_await m_room.async_wait(asio::redirect_error(use_awaitable, ec));
+        co_await m_bufferSpaceTimer.async_wait(asio::redirect_error(use_awaitable, ec));
         if (!ec || m_isStopped)
             throw boost::system::system_error(beast::error::timeout);
     }
 }
 
-void Run::finish(RunEnd end)
+void EngineRun::finish(RunOutcome outcome)
 {
-    if (end != RunEnd::Broken) {
-        m_end = end;
+    if (outcome != RunOutcome::Broken) {
+        m_outcome = outcome;
         wakeSubscribers();
     }
     if (m_onEnded)
-        m_onEnded(end);
+        m_onEnded(outcome);
 }
 
-void Run::conclude(policy::CrashId crash)
+void EngineRun::conclude(policy::CrashId crash)
 {
-    m_end = RunEnd::Broken;
+    m_outcome = RunOutcome::Broken;
     m_crash = crash;
     wakeSubscribers();
 }
 
-void Run::wakeSubscribers()
+void EngineRun::wakeSubscribers()
 {
-    auto waiting = std::move(m_waiting);
-    m_waiting.clear();
-    for (auto& fulfiller : waiting)
+    auto waiters = std::move(m_waiters);
+    m_waiters.clear();
+    for (auto& fulfiller : waiters)
         fulfiller->fulfill();
 }
 
-kj::Promise<void> Run::untilChanged()
+kj::Promise<void> EngineRun::waitForChange()
 {
-    auto changed = kj::newPromiseAndFulfiller<void>();
-    m_waiting.push_back(kj::mv(changed.fulfiller));
-    return kj::mv(changed.promise);
+    auto change = kj::newPromiseAndFulfiller<void>();
+    m_waiters.push_back(kj::mv(change.fulfiller));
+    return kj::mv(change.promise);
 }
 
-kj::Promise<CallOutcome> Run::attach(std::uint64_t offset, bool needsHead, rpc::schema::FrameSink::Client sink)
+kj::Promise<CallOutcome> EngineRun::attach(std::uint64_t offset, bool needsHead, rpc::schema::FrameSink::Client sink)
 {
     auto subscriber = std::make_shared<Subscriber>(Subscriber { kj::mv(sink), offset, needsHead });
     m_subscribers.remove_if([](auto& weak) { return weak.expired(); });
     m_subscribers.push_back(subscriber);
-    m_room.cancel();
+    m_bufferSpaceTimer.cancel();
     return pump(subscriber).attach(shared_from_this());
 }
 
-kj::Promise<CallOutcome> Run::pump(std::shared_ptr<Subscriber> subscriber)
+kj::Promise<CallOutcome> EngineRun::pump(std::shared_ptr<Subscriber> subscriber)
 {
     // Made anew for each use: kj keeps a reference to a continuation that is passed as an lvalue.
-    auto again = [this, &subscriber]() { return [this, subscriber]() { return pump(subscriber); }; };
+    auto makeContinuation = [this, &subscriber]() { return [this, subscriber]() { return pump(subscriber); }; };
     auto bytes = m_buffer.read(subscriber->offset, chunkBytes);
     if (!bytes) {
-        auto verdict = m_end == RunEnd::Answered ? Verdict::Ran : Verdict::MayHaveRun;
+        auto verdict = m_outcome == RunOutcome::Answered ? Verdict::Ran : Verdict::MayHaveRun;
         return CallOutcome { OutcomeKind::REFUSED, verdict, Reason::ANSWER_NOT_HELD };
     }
-    auto isLast = m_end == RunEnd::Answered && subscriber->offset + bytes->size() == m_buffer.end();
+    auto isLast = m_outcome == RunOutcome::Answered && subscriber->offset + bytes->size() == m_buffer.end();
     if (isLast)
         return sendFrame(*subscriber, *bytes, true).then([]() { return CallOutcome { OutcomeKind::ANSWERED, Verdict::Ran, Reason::NONE }; });
     if (!bytes->empty())
-        return sendFrame(*subscriber, *bytes, false).then(again());
-    if (m_end)
+        return sendFrame(*subscriber, *bytes, false).then(makeContinuation());
+    if (m_outcome)
         return failureOutcome();
-    return untilChanged().then(again());
+    return waitForChange().then(makeContinuation());
 }
 
-kj::Promise<void> Run::sendFrame(Subscriber& subscriber, std::string_view bytes, bool isLast)
+kj::Promise<void> EngineRun::sendFrame(Subscriber& subscriber, std::string_view bytes, bool isLast)
 {
     auto request = subscriber.sink.writeRequest();
     auto frame = request.initFrame();
     if (subscriber.needsHead)
-        fillHead(frame.initHead(), *m_head);
+        fillResponseHead(frame.initHead(), *m_responseHead);
     subscriber.needsHead = false;
     frame.setOffset(subscriber.offset);
     frame.setBytes(kj::ArrayPtr<const kj::byte>(reinterpret_cast<const kj::byte*>(bytes.data()), bytes.size()));
@@ -246,22 +246,22 @@
         end.setDigest(m_digest.value());
     }
     subscriber.offset += bytes.size();
-    m_served = subscriber.offset;
-    m_room.cancel();
+    m_servedOffset = subscriber.offset;
+    m_bufferSpaceTimer.cancel();
     return request.send();
 }
 
-CallOutcome Run::failureOutcome() const
+CallOutcome EngineRun::failureOutcome() const
 {
-    switch (*m_end) {
-    case RunEnd::NotReached:
+    switch (*m_outcome) {
+    case RunOutcome::NotReached:
         return { OutcomeKind::REFUSED, Verdict::NotRun, Reason::ENGINE_DOWN };
-    case RunEnd::Cancelled:
+    case RunOutcome::Cancelled:
         return { OutcomeKind::CANCELLED, Verdict::MayHaveRun, Reason::NONE };
-    case RunEnd::DeadlinePassed:
+    case RunOutcome::DeadlinePassed:
         return { OutcomeKind::ENGINE_FAILED, Verdict::MayHaveRun, Reason::DEADLINE };
-    case RunEnd::Broken:
-    case RunEnd::Answered:
+    case RunOutcome::Broken:
+    case RunOutcome::Answered:
         break;
     }
     return { OutcomeKind::ENGINE_FAILED, Verdict::MayHaveRun, Reason::ENGINE_CRASHED, m_crash };
--- a/src/agent/run.h
+++ b/src/agent/engine-run.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "src/agent/engine-client.h"
+#include "src/agent/engine-connection-pool.h"
 #include "src/agent/events.h"
 #include "src/agent/replay-buffer.h"
 #include "src/rpc/body-digest.h"
@@ -37,12 +37,12 @@
 
 /// One request at the engine: sends it, buffers the tail of the answer and passes it on to any number of calls, each at
 /// its own offset. Belongs to the traffic thread.
-class Run : public std::enable_shared_from_this<Run> {
+class EngineRun : public std::enable_shared_from_this<EngineRun> {
 public:
-    using OnEnded = std::function<void(RunEnd)>;
+    using OnEnded = std::function<void(RunOutcome)>;
 
-    Run(boost::asio::io_context& ioContext, EngineClient& engine, EngineRequest request, TimePoint deadline, std::size_t bufferBytes);
-    ~Run();
+    EngineRun(boost::asio::io_context& ioContext, EngineConnectionPool& engine, EngineRequest request, TimePoint deadline, std::size_t bufferBytes);
+    ~EngineRun();
 
     /// Called once, when the request has ended at the engine or never got there.
     void setOnEnded(OnEnded onEnded) { m_onEnded = std::move(onEnded); }
@@ -65,19 +65,19 @@
         bool needsHead;
     };
 
-    boost::asio::awaitable<RunEnd> execute();
+    boost::asio::awaitable<RunOutcome> execute();
     boost::asio::awaitable<void> readBody(boost::beast::tcp_stream& stream);
-    boost::asio::awaitable<void> waitForRoom();
-    bool hasRoom() const;
-    void finish(RunEnd end);
+    boost::asio::awaitable<void> waitForBufferSpace();
+    bool hasBufferSpace() const;
+    void finish(RunOutcome outcome);
     void wakeSubscribers();
-    kj::Promise<void> untilChanged();
+    kj::Promise<void> waitForChange();
     kj::Promise<CallOutcome> pump(std::shared_ptr<Subscriber> subscriber);
     kj::Promise<void> sendFrame(Subscriber& subscriber, std::string_view bytes, bool isLast);
     CallOutcome failureOutcome() const;
 
     boost::asio::io_context& m_ioContext;
-    EngineClient& m_engine;
+    EngineConnectionPool& m_engine;
     EngineRequest m_request;
     TimePoint m_deadline;
     std::size_t m_bufferBytes;
@@ -87,17 +87,17 @@
     bool m_isStopped { false };
     bool m_wasSent { false };
 
-    std::optional<boost::beast::http::response_header<>> m_head;
+    std::optional<boost::beast::http::response_header<>> m_responseHead;
     ReplayBuffer m_buffer;
     rpc::BodyDigest m_digest;
-    std::optional<RunEnd> m_end;
+    std::optional<RunOutcome> m_outcome;
     policy::CrashId m_crash;
 
     std::list<std::weak_ptr<Subscriber>> m_subscribers;
     /// Offset up to which the slowest attached call, or the last one that was, has been served.
-    std::uint64_t m_served { 0 };
-    std::vector<kj::Own<kj::PromiseFulfiller<void>>> m_waiting;
-    boost::asio::steady_timer m_room;
+    std::uint64_t m_servedOffset { 0 };
+    std::vector<kj::Own<kj::PromiseFulfiller<void>>> m_waiters;
+    boost::asio::steady_timer m_bufferSpaceTimer;
 };
 
 } // namespace swiftloft::agent
--- a/src/agent/events.h
+++ b/src/agent/events.h
@@ -34,7 +34,7 @@
     Fingerprint fingerprint;
     bool runsAlone { false };
     /// Prompt and expected output.
-    Tokens work;
+    Tokens totalTokens;
     TimePoint deadline;
     TimePoint now;
     /// For a request under a client's own key that may not run twice.
@@ -53,7 +53,7 @@
 };
 
 /// An instance list was learned, from the platform or from a peer.
-struct ListLearned {
+struct InstanceListReceived {
     policy::ListRevision revision;
     TimePoint now;
 };
@@ -65,7 +65,7 @@
 };
 
 /// How a request ended at the engine.
-enum class RunEnd {
+enum class RunOutcome {
     Answered,
     /// The engine was never reached: nothing was sent.
     NotReached,
@@ -77,7 +77,7 @@
 
 struct RunEnded {
     RunId run;
-    RunEnd end;
+    RunOutcome outcome;
     TimePoint now;
 };
 
@@ -96,7 +96,7 @@
 };
 
 /// What an entry knows of crashes.
-struct SuspicionsHeard {
+struct SuspicionsReceived {
     std::vector<policy::SuspicionMessage> messages;
     TimePoint now;
 };
@@ -109,7 +109,7 @@
     TimePoint now;
 };
 
-using Event = std::variant<RunRequested, ClaimRequested, ClaimReleased, ListLearned, CancelRequested, RunEnded, EngineUp, EngineDown, SuspicionsHeard, LeaveRequested, Tick>;
+using Event = std::variant<RunRequested, ClaimRequested, ClaimReleased, InstanceListReceived, CancelRequested, RunEnded, EngineUp, EngineDown, SuspicionsReceived, LeaveRequested, Tick>;
 
 /// Makes the request of `call` ready. It goes to the engine at once, or, while it `isHeld`, with `ReleaseRun`.
 struct StartRun {
@@ -160,7 +160,7 @@
 };
 
 /// The buffered answer of a finished request may go.
-struct ForgetRun {
+struct DiscardRun {
     RunId run;
 };
 
@@ -175,13 +175,13 @@
     /// A suspect has, or waits for, the engine to itself.
     bool isReserved { false };
     std::uint32_t running { 0 };
-    Tokens pending;
+    Tokens pendingTokens;
     double tokensPerSecond { 0 };
     policy::MintEpoch epoch;
     std::vector<policy::SuspicionMessage> suspicions;
 };
 
-using Effect = std::variant<StartRun, ReleaseRun, AttachCall, RefuseCall, AnswerCancel, AnswerClaim, StopRun, ProbeEngine, ConcludeRun, ForgetRun, Finish, PublishReport>;
+using Effect = std::variant<StartRun, ReleaseRun, AttachCall, RefuseCall, AnswerCancel, AnswerClaim, StopRun, ProbeEngine, ConcludeRun, DiscardRun, Finish, PublishReport>;
 using Effects = std::vector<Effect>;
 
 } // namespace swiftloft::agent
--- a/src/agent/map-control.cc
+++ b/src/agent/map-control.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr milliseconds planningTick { 10 };
+constexpr milliseconds planningTickInterval { 10 };
 
 MapShape shapeOf(const settings::GroupSettings& settings)
 {
@@ -34,7 +34,7 @@
 void MapControl::setSettings(const settings::Tree& tree)
 {
     m_settings = tree;
-    beginIfKnown();
+    startMemberIfReady();
     if (!m_member)
         return;
     auto settings = tree.group(m_member->options().group);
@@ -42,16 +42,16 @@
         return;
     m_groupSettings = *settings;
     // The planner has the weights of its beginning: the next look at the group begins it anew.
-    if (m_planning)
-        m_planning->stop();
+    if (m_backgroundPlanner)
+        m_backgroundPlanner->stop();
 }
 
 void MapControl::setView(const std::shared_ptr<const membership::View>& view)
 {
     m_view = view;
-    beginIfKnown();
+    startMemberIfReady();
     if (m_member)
-        learnAddresses();
+        updateAddresses();
 }
 
 void MapControl::stop()
@@ -62,7 +62,7 @@
         m_member->stop();
 }
 
-void MapControl::beginIfKnown()
+void MapControl::startMemberIfReady()
 {
     if (m_member || m_isStopped || !m_view || !m_settings)
         return;
@@ -71,12 +71,12 @@
         return;
     auto settings = m_settings->group(self->listed->group);
     if (settings)
-        begin(*self->listed, *settings);
+        startMember(*self->listed, *settings);
     else
         m_problem = settings.error().message;
 }
 
-void MapControl::begin(const membership::ListedInstance& listed, const settings::GroupSettings& settings)
+void MapControl::startMember(const membership::ListedInstance& listed, const settings::GroupSettings& settings)
 {
     auto shape = shapeOf(settings);
     auto initial = ExpertMap::even(shape);
@@ -93,24 +93,24 @@
     options.endpoint = { m_options.rpc.address(), m_options.rpc.port() };
     options.coordination.initial = initial->version();
     GroupMember::Hooks hooks;
-    hooks.writeEngine = [this](const EngineOrder& order, const ExpertMap* map) { m_engine->write(order, map); };
+    hooks.writeEngine = [this](const EngineOrder& order, const ExpertMap* map) { m_orderClient->send(order, map); };
     m_member = GroupMember::create(m_ioContext, options, std::move(hooks)).value();
     m_member->addMap({ initial->version(), *initial });
     m_groupSettings = settings;
     m_problem.clear();
-    EngineOrders::Hooks engineHooks;
-    engineHooks.onAnswered = [this](const rank::EngineAnswered& answered) { m_member->onEngine(answered); };
-    engineHooks.onLost = [this] { m_member->onEngine(rank::EngineLost {}); };
-    m_engine = std::make_unique<EngineOrders>(m_ioContext, m_options.engine, std::move(engineHooks));
-    learnAddresses();
+    EngineOrderClient::Hooks engineHooks;
+    engineHooks.onResponse = [this](const rank::EngineAnswered& answered) { m_member->onEngine(answered); };
+    engineHooks.onDisconnected = [this] { m_member->onEngine(rank::EngineLost {}); };
+    m_orderClient = std::make_unique<EngineOrderClient>(m_ioContext, m_options.engine, std::move(engineHooks));
+    updateAddresses();
     m_member->start();
     if (*listed.rank != RankIndex(0))
         return;
-    m_planning = std::make_unique<MapPlanning>(m_ioContext, m_options.engine, [this](const PlannedMap& planned) { onPlanned(planned); });
+    m_backgroundPlanner = std::make_unique<BackgroundPlanner>(m_ioContext, m_options.engine, [this](const PlannedMap& planned) { onPlanned(planned); });
     tick();
 }
 
-void MapControl::learnAddresses()
+void MapControl::updateAddresses()
 {
     for (auto& member : m_view->members) {
         auto& listed = *member.listed;
@@ -126,18 +126,18 @@
 {
     if (m_isStopped)
         return;
-    VersionedMap named { planned.map.version(), planned.map };
-    log::write(log::Event::MapChangeWanted, "group={} version={:016x} experts={} bytes={}", m_member->options().group.value(), named.version.value(), planned.experts,
-        planned.bytes.value());
-    m_member->want(named);
+    VersionedMap versionedMap { planned.map.version(), planned.map };
+    log::write(log::Event::MapChangeWanted, "group={} version={:016x} experts={} bytes={}", m_member->options().group.value(), versionedMap.version.value(), planned.movedExperts,
+        planned.movedBytes.value());
+    m_member->want(versionedMap);
 }
 
 void MapControl::tick()
 {
     if (m_isStopped)
         return;
-    followPlanning();
-    m_timer.expires_at(Clock::now() + planningTick);
+    updatePlanning();
+    m_timer.expires_at(Clock::now() + planningTickInterval);
     m_timer.async_wait([this](boost::system::error_code ec) {
         if (!ec)
             tick();
@@ -145,18 +145,18 @@
 }
 
 /// Plans go from the map that the engines show, so a planner begins only when that is known and held.
-void MapControl::followPlanning()
+void MapControl::updatePlanning()
 {
     auto* coordinator = m_member->coordinator();
     bool isIdle = coordinator && coordinator->phase() == CoordinatorPhase::Idle;
-    m_planning->setMayPlan(isIdle);
+    m_backgroundPlanner->setMayPlan(isIdle);
     auto& status = m_member->agent().status();
-    if (m_planning->isActive() || !isIdle || !status)
+    if (m_backgroundPlanner->isActive() || !isIdle || !status)
         return;
     auto* current = m_member->findMap(status->current);
     if (!current)
         m_member->fetchMap(status->current);
-    else if (auto error = m_planning->begin(m_groupSettings, *current))
+    else if (auto error = m_backgroundPlanner->start(m_groupSettings, *current))
         m_problem = error->message;
     else
         m_problem.clear();
--- a/src/agent/map-control.h
+++ b/src/agent/map-control.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "src/agent/engine-orders.h"
+#include "src/agent/background-planner.h"
+#include "src/agent/engine-order-client.h"
 #include "src/agent/group-member.h"
-#include "src/agent/map-planning.h"
 
 #include <swiftloft/membership/view.h>
 #include <swiftloft/settings/tree.h>
@@ -43,11 +43,11 @@
     std::string toJson() const;
 
 private:
-    void beginIfKnown();
-    void begin(const membership::ListedInstance& listed, const settings::GroupSettings& settings);
-    void learnAddresses();
+    void startMemberIfReady();
+    void startMember(const membership::ListedInstance& listed, const settings::GroupSettings& settings);
+    void updateAddresses();
     void onPlanned(const PlannedMap& planned);
-    void followPlanning();
+    void updatePlanning();
     void tick();
 
     boost::asio::io_context& m_ioContext;
@@ -59,10 +59,10 @@
     /// Why there is no part in the group, or no plans; empty when all is well.
     std::string m_problem;
     settings::GroupSettings m_groupSettings;
-    std::unique_ptr<EngineOrders> m_engine;
+    std::unique_ptr<EngineOrderClient> m_orderClient;
     std::unique_ptr<GroupMember> m_member;
     /// At rank 0 only.
-    std::unique_ptr<MapPlanning> m_planning;
+    std::unique_ptr<BackgroundPlanner> m_backgroundPlanner;
 };
 
 } // namespace swiftloft::agent
--- a/src/agent/reducer.cc
+++ b/src/agent/reducer.cc
@@ -41,7 +41,7 @@
     return event.runsAlone || m_quarantine.check(event.fingerprint, event.now).action != policy::QuarantineAction::Admit;
 }
 
-Reason Reducer::reasonToRefuse(const RunRequested& event, bool runsAlone) const
+Reason Reducer::refusalReason(const RunRequested& event, bool runsAlone) const
 {
     if (m_isLeaving)
         return Reason::LEAVING;
@@ -53,7 +53,7 @@
     if (m_quarantine.check(event.fingerprint, event.now).action == policy::QuarantineAction::Refuse)
         return Reason::QUARANTINED;
     // While a suspect has or awaits the engine to itself, its neighbours would become suspects as well if it crashes.
-    if (m_alone)
+    if (m_aloneRun)
         return Reason::OVERLOADED;
     if (runsAlone && m_quarantine.check(event.fingerprint, event.now).action == policy::QuarantineAction::Wait)
         return Reason::OVERLOADED;
@@ -65,7 +65,7 @@
     auto run = runIdOf(event.ticket);
     auto isAlone = mustRunAlone(event);
     auto mayStart = !m_runs.contains(run) && !event.attachesOnly;
-    auto reason = mayStart ? reasonToRefuse(event, isAlone) : Reason::NONE;
+    auto reason = mayStart ? refusalReason(event, isAlone) : Reason::NONE;
     if (reason != Reason::NONE) {
         // "Not run" may be said only when a copy of this call, late in some connection's buffer, can't start it either.
         // The cancel leaves that mark, or says that the request has run already.
@@ -75,12 +75,12 @@
             return;
         }
     }
-    if (event.claim && settleClaim(event, effects))
+    if (event.claim && resolveClaim(event, effects))
         return;
     auto result = m_dedup.start(event.ticket);
     switch (result.answer) {
     case policy::StartAnswer::Run:
-        return begin(event, isAlone, effects);
+        return startRun(event, isAlone, effects);
     case policy::StartAnswer::AlreadyRunning:
     case policy::StartAnswer::AlreadyFinished:
         effects.push_back(AttachCall { event.call, run });
@@ -92,11 +92,11 @@
 
 // A client's own key says nothing of who may run it, so the claim decides: it was granted here, to this entry, by this
 // incarnation, and has not ended. Without it a resend through another entry would run the request again.
-bool Reducer::settleClaim(const RunRequested& event, Effects& effects)
+bool Reducer::resolveClaim(const RunRequested& event, Effects& effects)
 {
     auto& claim = *event.claim;
     if (event.attachesOnly) {
-        attachToKey(event, effects);
+        attachByKey(event, effects);
         return true;
     }
     if (event.ticket.agentIncarnation != m_options.incarnation)
@@ -106,7 +106,7 @@
         return false;
     case policy::RunAnswer::AlreadyRunning:
     case policy::RunAnswer::AlreadyFinished:
-        attachToKey(event, effects);
+        attachByKey(event, effects);
         return true;
     case policy::RunAnswer::NotClaimed:
         break;
@@ -115,10 +115,10 @@
     return true;
 }
 
-void Reducer::attachToKey(const RunRequested& event, Effects& effects) const
+void Reducer::attachByKey(const RunRequested& event, Effects& effects) const
 {
-    auto it = m_runOfKey.find(event.claim->key);
-    if (it != m_runOfKey.end())
+    auto it = m_runByKey.find(event.claim->key);
+    if (it != m_runByKey.end())
         effects.push_back(AttachCall { event.call, it->second });
     else
         effects.push_back(RefuseCall { event.call, m_claims.outcomeOf(event.claim->key).value_or(Verdict::MayHaveRun), Reason::ANSWER_NOT_HELD });
@@ -134,7 +134,7 @@
     m_claims.onRelease(event.request.key, event.request.claim);
 }
 
-void Reducer::on(const ListLearned& event, Effects&)
+void Reducer::on(const InstanceListReceived& event, Effects&)
 {
     m_claims.onListRevision(event.revision, event.now);
 }
@@ -151,23 +151,23 @@
     effects.push_back(RefuseCall { event.call, result.verdict, reason });
 }
 
-void Reducer::begin(const RunRequested& event, bool isAlone, Effects& effects)
+void Reducer::startRun(const RunRequested& event, bool isAlone, Effects& effects)
 {
     auto id = runIdOf(event.ticket);
     auto isHeld = isAlone && !m_runs.empty();
-    Run run { event.ticket, event.fingerprint, event.work, event.deadline, isAlone, isHeld };
+    RunRecord run { event.ticket, event.fingerprint, event.totalTokens, event.deadline, isAlone, isHeld };
     if (event.claim) {
         run.clientKey = event.claim->key;
-        m_runOfKey[event.claim->key] = id;
+        m_runByKey[event.claim->key] = id;
     }
     m_runs.emplace(id, std::move(run));
-    m_pending += event.work;
+    m_pendingTokens += event.totalTokens;
     if (isAlone) {
-        m_alone = id;
+        m_aloneRun = id;
         m_quarantine.onStartAlone(event.fingerprint);
     }
     effects.push_back(StartRun { event.call, id, event.deadline, isHeld });
-    publish(event.now, effects);
+    publishReport(event.now, effects);
 }
 
 void Reducer::on(const CancelRequested& event, Effects& effects)
@@ -185,53 +185,53 @@
         return;
     auto run = it->second;
     m_runs.erase(it);
-    m_pending -= run.work;
-    m_dedup.finish(run.ticket, event.end == RunEnd::Answered ? Verdict::Ran : Verdict::MayHaveRun);
+    m_pendingTokens -= run.totalTokens;
+    m_dedup.finish(run.ticket, event.outcome == RunOutcome::Answered ? Verdict::Ran : Verdict::MayHaveRun);
     if (run.clientKey)
-        m_claims.onFinish(*run.clientKey, event.end == RunEnd::Answered ? Verdict::Ran : Verdict::MayHaveRun, event.now);
-    m_answers.push_back({ event.run, event.now + m_options.keepAnswers, run.clientKey });
+        m_claims.onFinish(*run.clientKey, event.outcome == RunOutcome::Answered ? Verdict::Ran : Verdict::MayHaveRun, event.now);
+    m_retainedResponses.push_back({ event.run, event.now + m_options.responseRetention, run.clientKey });
     if (run.isAlone) {
-        m_alone.reset();
+        m_aloneRun.reset();
         m_quarantine.onEndAlone(run.fingerprint);
     }
-    if (event.end == RunEnd::Answered && !m_quarantine.empty())
+    if (event.outcome == RunOutcome::Answered && !m_quarantine.empty())
         m_quarantine.onSuccess(run.fingerprint, event.now);
-    if (event.end == RunEnd::Broken) {
-        m_broken.push_back({ event.run, run.fingerprint, event.now });
+    if (event.outcome == RunOutcome::Broken) {
+        m_brokenRuns.push_back({ event.run, run.fingerprint, event.now });
         effects.push_back(ProbeEngine {});
     }
-    releaseHeld(effects);
-    publish(event.now, effects);
+    releaseHeldRun(effects);
+    publishReport(event.now, effects);
     finishIfIdle(effects);
 }
 
-void Reducer::releaseHeld(Effects& effects)
+void Reducer::releaseHeldRun(Effects& effects)
 {
-    if (!m_alone || m_runs.size() > 1)
+    if (!m_aloneRun || m_runs.size() > 1)
         return;
-    auto& run = m_runs.at(*m_alone);
+    auto& run = m_runs.at(*m_aloneRun);
     if (!run.isHeld)
         return;
     run.isHeld = false;
-    effects.push_back(ReleaseRun { *m_alone });
+    effects.push_back(ReleaseRun { *m_aloneRun });
 }
 
-void Reducer::stopLateHeld(TimePoint now, Effects& effects) const
+void Reducer::stopExpiredHeldRun(TimePoint now, Effects& effects) const
 {
-    if (!m_alone)
+    if (!m_aloneRun)
         return;
-    auto& run = m_runs.at(*m_alone);
+    auto& run = m_runs.at(*m_aloneRun);
     if (run.isHeld && run.deadline <= now)
-        effects.push_back(StopRun { *m_alone });
+        effects.push_back(StopRun { *m_aloneRun });
 }
 
 void Reducer::on(const EngineUp& event, Effects& effects)
 {
     m_isEngineUp = true;
     m_tokensPerSecond = event.tokensPerSecond;
-    m_crash = {};
-    concludeBroken(event.probedAt, effects);
-    publish(event.now, effects);
+    m_currentCrash = {};
+    concludeBrokenRuns(event.probedAt, effects);
+    publishReport(event.now, effects);
 }
 
 void Reducer::on(const EngineDown& event, Effects& effects)
@@ -239,17 +239,17 @@
     auto wasUp = m_isEngineUp;
     m_isEngineUp = false;
     if (event.hasCrashed && wasUp)
-        takeCrash(event.now);
-    concludeBroken(event.probedAt, effects);
-    publish(event.now, effects);
+        recordCrash(event.now);
+    concludeBrokenRuns(event.probedAt, effects);
+    publishReport(event.now, effects);
 }
 
 // All that was at the engine is suspect: what still counts as running and what has broken since the last good probe.
-void Reducer::takeCrash(TimePoint now)
+void Reducer::recordCrash(TimePoint now)
 {
-    m_crash = policy::crashIdOf(m_options.self, m_options.incarnation, ++m_crashes);
-    policy::CrashReport report { m_crash, {} };
-    for (auto& broken : m_broken)
+    m_currentCrash = policy::crashIdOf(m_options.self, m_options.incarnation, ++m_crashCount);
+    policy::CrashReport report { m_currentCrash, {} };
+    for (auto& broken : m_brokenRuns)
         report.inFlight.push_back(broken.fingerprint);
     for (auto& [id, run] : m_runs) {
         if (!run.isHeld)
@@ -261,29 +261,29 @@
 // A broken request is answered only now, with the crash that broke it. An entry that heard of the break alone would try
 // the request elsewhere before anyone suspects it, and a third server could die of it. Only a probe that began after the
 // break says anything: an older one may have found the engine alive a moment before.
-void Reducer::concludeBroken(TimePoint probedAt, Effects& effects)
+void Reducer::concludeBrokenRuns(TimePoint probedAt, Effects& effects)
 {
-    std::erase_if(m_broken, [&](auto& broken) {
-        if (broken.at > probedAt)
+    std::erase_if(m_brokenRuns, [&](auto& broken) {
+        if (broken.brokenAt > probedAt)
             return false;
-        effects.push_back(ConcludeRun { broken.run, m_crash });
+        effects.push_back(ConcludeRun { broken.run, m_currentCrash });
         return true;
     });
 }
 
-void Reducer::on(const SuspicionsHeard& event, Effects& effects)
+void Reducer::on(const SuspicionsReceived& event, Effects& effects)
 {
-    auto isNews = false;
+    auto hasChanged = false;
     for (auto& message : event.messages)
-        isNews = m_quarantine.onMessage(message, event.now) || isNews;
-    if (isNews)
-        publish(event.now, effects);
+        hasChanged = m_quarantine.onMessage(message, event.now) || hasChanged;
+    if (hasChanged)
+        publishReport(event.now, effects);
 }
 
 void Reducer::on(const LeaveRequested& event, Effects& effects)
 {
     m_isLeaving = true;
-    publish(event.now, effects);
+    publishReport(event.now, effects);
     finishIfIdle(effects);
 }
 
@@ -293,19 +293,19 @@
     m_dedup.tick(event.now);
     m_quarantine.tick(event.now);
     m_claims.tick(event.now);
-    forgetExpired(event.now, effects);
-    stopLateHeld(event.now, effects);
+    evictExpiredResponses(event.now, effects);
+    stopExpiredHeldRun(event.now, effects);
     if (m_dedup.epoch() != epoch || !m_quarantine.empty())
-        publish(event.now, effects);
+        publishReport(event.now, effects);
 }
 
-void Reducer::forgetExpired(TimePoint now, Effects& effects)
+void Reducer::evictExpiredResponses(TimePoint now, Effects& effects)
 {
-    while (!m_answers.empty() && (m_answers.front().expires <= now || m_answers.size() > m_options.mostAnswers)) {
-        effects.push_back(ForgetRun { m_answers.front().run });
-        if (m_answers.front().clientKey)
-            m_runOfKey.erase(*m_answers.front().clientKey);
-        m_answers.pop_front();
+    while (!m_retainedResponses.empty() && (m_retainedResponses.front().expires <= now || m_retainedResponses.size() > m_options.maxRetainedResponses)) {
+        effects.push_back(DiscardRun { m_retainedResponses.front().run });
+        if (m_retainedResponses.front().clientKey)
+            m_runByKey.erase(*m_retainedResponses.front().clientKey);
+        m_retainedResponses.pop_front();
     }
 }
 
@@ -315,14 +315,14 @@
         effects.push_back(Finish {});
 }
 
-void Reducer::publish(TimePoint now, Effects& effects) const
+void Reducer::publishReport(TimePoint now, Effects& effects) const
 {
     PublishReport report;
     report.isLeaving = m_isLeaving;
     report.isEngineUp = m_isEngineUp;
-    report.isReserved = m_alone.has_value();
+    report.isReserved = m_aloneRun.has_value();
     report.running = static_cast<std::uint32_t>(m_runs.size());
-    report.pending = m_pending;
+    report.pendingTokens = m_pendingTokens;
     report.tokensPerSecond = m_tokensPerSecond;
     report.epoch = m_dedup.epoch();
     if (!m_quarantine.empty())
--- a/src/agent/reducer.h
+++ b/src/agent/reducer.h
@@ -18,9 +18,9 @@
     BackendServerId self;
     Incarnation incarnation;
     /// How long a finished answer is kept for a resend or a new connection.
-    seconds keepAnswers { 300 };
+    seconds responseRetention { 300 };
     /// Most finished answers kept.
-    std::size_t mostAnswers { 2000 };
+    std::size_t maxRetainedResponses { 2000 };
     policy::DedupTableOptions dedup;
     policy::CrashQuarantineOptions quarantine;
     policy::ClaimTableOptions claims;
@@ -43,17 +43,17 @@
 
 private:
     /// A request that is at the engine, or held until it may go there alone.
-    struct Run {
+    struct RunRecord {
         policy::Ticket ticket;
         Fingerprint fingerprint;
-        Tokens work;
+        Tokens totalTokens;
         TimePoint deadline;
         bool isAlone { false };
         bool isHeld { false };
         std::optional<policy::ClientKey> clientKey;
     };
 
-    struct KeptAnswer {
+    struct RetainedResponse {
         RunId run;
         TimePoint expires;
         std::optional<policy::ClientKey> clientKey;
@@ -63,7 +63,7 @@
     struct BrokenRun {
         RunId run;
         Fingerprint fingerprint;
-        TimePoint at;
+        TimePoint brokenAt;
     };
 
     Reducer(ReducerOptions options, policy::DedupTable dedup, policy::CrashQuarantine quarantine, policy::ClaimTable claims);
@@ -71,46 +71,46 @@
     void on(const RunRequested& event, Effects& effects);
     void on(const ClaimRequested& event, Effects& effects);
     void on(const ClaimReleased& event, Effects& effects);
-    void on(const ListLearned& event, Effects& effects);
+    void on(const InstanceListReceived& event, Effects& effects);
     void on(const CancelRequested& event, Effects& effects);
     void on(const RunEnded& event, Effects& effects);
     void on(const EngineUp& event, Effects& effects);
     void on(const EngineDown& event, Effects& effects);
-    void on(const SuspicionsHeard& event, Effects& effects);
+    void on(const SuspicionsReceived& event, Effects& effects);
     void on(const LeaveRequested& event, Effects& effects);
     void on(const Tick& event, Effects& effects);
 
-    Reason reasonToRefuse(const RunRequested& event, bool runsAlone) const;
+    Reason refusalReason(const RunRequested& event, bool runsAlone) const;
     bool mustRunAlone(const RunRequested& event) const;
-    void begin(const RunRequested& event, bool isAlone, Effects& effects);
+    void startRun(const RunRequested& event, bool isAlone, Effects& effects);
     /// True when a claim settles what becomes of the call; false when it may go on to start.
-    bool settleClaim(const RunRequested& event, Effects& effects);
-    void attachToKey(const RunRequested& event, Effects& effects) const;
+    bool resolveClaim(const RunRequested& event, Effects& effects);
+    void attachByKey(const RunRequested& event, Effects& effects) const;
     void refuseStart(const RunRequested& event, policy::StartResult result, Effects& effects) const;
-    void releaseHeld(Effects& effects);
-    void stopLateHeld(TimePoint now, Effects& effects) const;
-    void takeCrash(TimePoint now);
-    void concludeBroken(TimePoint probedAt, Effects& effects);
-    void forgetExpired(TimePoint now, Effects& effects);
+    void releaseHeldRun(Effects& effects);
+    void stopExpiredHeldRun(TimePoint now, Effects& effects) const;
+    void recordCrash(TimePoint now);
+    void concludeBrokenRuns(TimePoint probedAt, Effects& effects);
+    void evictExpiredResponses(TimePoint now, Effects& effects);
     void finishIfIdle(Effects& effects) const;
-    void publish(TimePoint now, Effects& effects) const;
+    void publishReport(TimePoint now, Effects& effects) const;
 
     ReducerOptions m_options;
     policy::DedupTable m_dedup;
     policy::CrashQuarantine m_quarantine;
     policy::ClaimTable m_claims;
     /// Runs and kept answers of client keys.
-    std::unordered_map<policy::ClientKey, RunId> m_runOfKey;
-    std::unordered_map<RunId, Run> m_runs;
+    std::unordered_map<policy::ClientKey, RunId> m_runByKey;
+    std::unordered_map<RunId, RunRecord> m_runs;
     /// The run that has, or waits for, the engine to itself.
-    std::optional<RunId> m_alone;
-    Tokens m_pending;
+    std::optional<RunId> m_aloneRun;
+    Tokens m_pendingTokens;
     /// Oldest first.
-    std::deque<KeptAnswer> m_answers;
-    std::vector<BrokenRun> m_broken;
-    std::uint64_t m_crashes { 0 };
+    std::deque<RetainedResponse> m_retainedResponses;
+    std::vector<BrokenRun> m_brokenRuns;
+    std::uint64_t m_crashCount { 0 };
     /// 0 while the engine is not down by a crash.
-    policy::CrashId m_crash;
+    policy::CrashId m_currentCrash;
     bool m_isLeaving { false };
     bool m_isEngineUp { false };
     double m_tokensPerSecond { 0 };
--- a/src/agent/replay-buffer.cc
+++ b/src/agent/replay-buffer.cc
@@ -15,11 +15,11 @@
     m_begin += n;
 }
 
-std::optional<std::string_view> ReplayBuffer::read(std::uint64_t offset, std::size_t most) const
+std::optional<std::string_view> ReplayBuffer::read(std::uint64_t offset, std::size_t maxBytes) const
 {
     if (offset < m_begin || offset > end())
         return std::nullopt;
-    return std::string_view(m_bytes).substr(offset - m_begin, most);
+    return std::string_view(m_bytes).substr(offset - m_begin, maxBytes);
 }
 
 } // namespace swiftloft::agent
--- a/src/agent/replay-buffer.h
+++ b/src/agent/replay-buffer.h
@@ -25,7 +25,7 @@
     std::uint64_t end() const { return m_begin + m_bytes.size(); }
 
     /// At most `most` bytes from `offset` on; nothing when `offset` is outside of what is held.
-    std::optional<std::string_view> read(std::uint64_t offset, std::size_t most) const;
+    std::optional<std::string_view> read(std::uint64_t offset, std::size_t maxBytes) const;
 
 private:
     std::size_t m_capacity;
--- a/src/agent/service.cc
+++ b/src/agent/service.cc
@@ -40,7 +40,7 @@
     std::uint64_t offset;
     bool needsHead;
     EngineRequest request;
-    kj::Promise<void> pumping { nullptr };
+    kj::Promise<void> pumpPromise { nullptr };
 };
 
 class Service::Server final : public rpc::schema::Agent::Server {
@@ -87,16 +87,16 @@
 
 void Service::report(ReportContext context)
 {
-    auto heard = context.getParams().getSuspicions();
-    if (heard.size() > 0)
-        m_outbox.post(SuspicionsHeard { rpc::toSuspicions(heard), Clock::now() });
+    auto suspicions = context.getParams().getSuspicions();
+    if (suspicions.size() > 0)
+        m_outbox.post(SuspicionsReceived { rpc::toSuspicions(suspicions), Clock::now() });
     auto report = context.getResults().initReport();
     report.setIncarnation(m_options.incarnation.value());
     report.setIsLeaving(m_report.isLeaving);
     report.setIsEngineUp(m_report.isEngineUp);
     report.setIsReserved(m_report.isReserved);
     report.setRunning(m_report.running);
-    report.setPendingTokens(m_report.pending.value());
+    report.setPendingTokens(m_report.pendingTokens.value());
     report.setTokensPerSecond(m_report.tokensPerSecond);
     report.setEpoch(m_report.epoch.value());
     rpc::fillSuspicions(report, m_report.suspicions);
@@ -108,15 +108,15 @@
     auto request = params.getRequest();
     auto now = Clock::now();
     auto id = nextCall();
-    auto answer = kj::newPromiseAndFulfiller<CallOutcome>();
-    auto call = std::make_shared<Call>(Call { kj::mv(answer.fulfiller), params.getSink(), params.getOffset(), params.getNeedsHead(), toEngineRequest(request, m_engine.endpoint()) });
-    m_calls.emplace(id, call);
+    auto pending = kj::newPromiseAndFulfiller<CallOutcome>();
+    auto call = std::make_shared<Call>(Call { kj::mv(pending.fulfiller), params.getSink(), params.getOffset(), params.getNeedsHead(), toEngineRequest(request, m_engine.endpoint()) });
+    m_pendingCalls.emplace(id, call);
     RunRequested event;
     event.call = id;
     event.ticket = rpc::toTicket(request.getTicket());
     event.fingerprint = Fingerprint(request.getFingerprint());
     event.runsAlone = request.getRunsAlone();
-    event.work = Tokens(request.getPromptTokens()) + Tokens(request.getExpectedTokens());
+    event.totalTokens = Tokens(request.getPromptTokens()) + Tokens(request.getExpectedTokens());
     event.deadline = now + milliseconds(request.getRemainingMs());
     event.now = now;
     if (request.hasClaim())
@@ -126,34 +126,34 @@
     context.releaseParams();
     // When the entry's connection goes, the promise and with it this guard are dropped: the pump must stop, while the
     // request itself goes on for a call on a new connection.
-    auto guard = kj::defer([call]() { call->pumping = nullptr; });
-    return answer.promise.then([context](CallOutcome outcome) mutable {
-                             auto result = context.getResults().initOutcome();
-                             result.setKind(outcome.kind);
-                             result.setVerdict(rpc::toSchema(outcome.verdict));
-                             result.setReason(outcome.reason);
-                             result.setCrash(outcome.crash.value());
-                         })
-        .attach(kj::mv(guard));
+    auto stopPump = kj::defer([call]() { call->pumpPromise = nullptr; });
+    return pending.promise.then([context](CallOutcome outcome) mutable {
+                              auto result = context.getResults().initOutcome();
+                              result.setKind(outcome.kind);
+                              result.setVerdict(rpc::toSchema(outcome.verdict));
+                              result.setReason(outcome.reason);
+                              result.setCrash(outcome.crash.value());
+                          })
+        .attach(kj::mv(stopPump));
 }
 
 kj::Promise<void> Service::cancel(CancelContext context)
 {
     auto params = context.getParams();
     auto id = nextCall();
-    auto answer = kj::newPromiseAndFulfiller<Verdict>();
-    m_cancels.emplace(id, kj::mv(answer.fulfiller));
+    auto pending = kj::newPromiseAndFulfiller<Verdict>();
+    m_pendingCancels.emplace(id, kj::mv(pending.fulfiller));
     m_outbox.post(CancelRequested { id, rpc::toTicket(params.getTicket()), Clock::now() });
-    return answer.promise.then([context](Verdict verdict) mutable { context.getResults().setVerdict(rpc::toSchema(verdict)); });
+    return pending.promise.then([context](Verdict verdict) mutable { context.getResults().setVerdict(rpc::toSchema(verdict)); });
 }
 
 kj::Promise<void> Service::claim(ClaimContext context)
 {
     auto id = nextCall();
-    auto answer = kj::newPromiseAndFulfiller<policy::ClaimReply>();
-    m_claims.emplace(id, kj::mv(answer.fulfiller));
+    auto pending = kj::newPromiseAndFulfiller<policy::ClaimReply>();
+    m_pendingClaims.emplace(id, kj::mv(pending.fulfiller));
     m_outbox.post(ClaimRequested { id, rpc::toClaim(context.getParams().getClaim()), Clock::now() });
-    return answer.promise.then([context](const policy::ClaimReply& reply) mutable { rpc::fill(context.getResults().initReply(), reply); });
+    return pending.promise.then([context](const policy::ClaimReply& reply) mutable { rpc::fill(context.getResults().initReply(), reply); });
 }
 
 void Service::release(rpc::schema::Claim::Reader claim)
@@ -161,25 +161,25 @@
     m_outbox.post(ClaimReleased { rpc::toClaim(claim) });
 }
 
-void Service::perform(const Effect& effect)
+void Service::execute(const Effect& effect)
 {
     std::visit([this](auto& it) { on(it); }, effect);
 }
 
-std::shared_ptr<Service::Call> Service::take(CallId id)
+std::shared_ptr<Service::Call> Service::takeCall(CallId id)
 {
-    auto it = m_calls.find(id);
+    auto it = m_pendingCalls.find(id);
     auto call = std::move(it->second);
-    m_calls.erase(it);
+    m_pendingCalls.erase(it);
     return call;
 }
 
 void Service::on(const StartRun& effect)
 {
-    auto call = take(effect.call);
-    auto run = std::make_shared<Run>(m_ioContext, m_engine, std::move(call->request), effect.deadline, m_options.resumeBufferBytes);
+    auto call = takeCall(effect.call);
+    auto run = std::make_shared<EngineRun>(m_ioContext, m_engine, std::move(call->request), effect.deadline, m_options.resumeBufferBytes);
     m_runs[effect.run] = run;
-    run->setOnEnded([this, id = effect.run](RunEnd end) { m_outbox.post(RunEnded { id, end, Clock::now() }); });
+    run->setOnEnded([this, id = effect.run](RunOutcome outcome) { m_outbox.post(RunEnded { id, outcome, Clock::now() }); });
     if (!effect.isHeld)
         run->start();
     attach(call, run);
@@ -194,54 +194,54 @@
 
 void Service::on(const AttachCall& effect)
 {
-    auto call = take(effect.call);
+    auto call = takeCall(effect.call);
     auto it = m_runs.find(effect.run);
     if (it != m_runs.end())
         return attach(call, it->second);
     call->fulfiller->fulfill({ OutcomeKind::REFUSED, Verdict::MayHaveRun, Reason::ANSWER_NOT_HELD });
 }
 
-void Service::attach(const std::shared_ptr<Call>& call, const std::shared_ptr<Run>& run)
+void Service::attach(const std::shared_ptr<Call>& call, const std::shared_ptr<EngineRun>& run)
 {
     if (!call->fulfiller->isWaiting())
         return;
-    ++m_attached;
-    auto leave = kj::defer([this]() {
-        --m_attached;
-        reportIfDrained();
+    ++m_attachedCalls;
+    auto detachGuard = kj::defer([this]() {
+        --m_attachedCalls;
+        notifyIfDrained();
     });
-    auto weak = std::weak_ptr(call);
-    call->pumping = run->attach(call->offset, call->needsHead, call->sink)
-                        .then(
-                            [weak](CallOutcome outcome) {
-                                if (auto call = weak.lock())
-                                    call->fulfiller->fulfill(kj::mv(outcome));
-                            },
-                            [weak](kj::Exception&& exception) {
-                                if (auto call = weak.lock())
-                                    call->fulfiller->reject(kj::mv(exception));
-                            })
-                        .attach(kj::mv(leave))
-                        .eagerlyEvaluate(nullptr);
+    auto weakCall = std::weak_ptr(call);
+    call->pumpPromise = run->attach(call->offset, call->needsHead, call->sink)
+                            .then(
+                                [weakCall](CallOutcome outcome) {
+                                    if (auto call = weakCall.lock())
+                                        call->fulfiller->fulfill(kj::mv(outcome));
+                                },
+                                [weakCall](kj::Exception&& exception) {
+                                    if (auto call = weakCall.lock())
+                                        call->fulfiller->reject(kj::mv(exception));
+                                })
+                            .attach(kj::mv(detachGuard))
+                            .eagerlyEvaluate(nullptr);
 }
 
 void Service::on(const RefuseCall& effect)
 {
-    take(effect.call)->fulfiller->fulfill({ OutcomeKind::REFUSED, effect.verdict, effect.reason });
+    takeCall(effect.call)->fulfiller->fulfill({ OutcomeKind::REFUSED, effect.verdict, effect.reason });
 }
 
 void Service::on(const AnswerCancel& effect)
 {
-    auto it = m_cancels.find(effect.call);
+    auto it = m_pendingCancels.find(effect.call);
     it->second->fulfill(Verdict(effect.verdict));
-    m_cancels.erase(it);
+    m_pendingCancels.erase(it);
 }
 
 void Service::on(const AnswerClaim& effect)
 {
-    auto it = m_claims.find(effect.call);
+    auto it = m_pendingClaims.find(effect.call);
     it->second->fulfill(kj::cp(effect.reply));
-    m_claims.erase(it);
+    m_pendingClaims.erase(it);
 }
 
 void Service::on(const StopRun& effect)
@@ -258,7 +258,7 @@
         it->second->conclude(effect.crash);
 }
 
-void Service::on(const ForgetRun& effect)
+void Service::on(const DiscardRun& effect)
 {
     m_runs.erase(effect.run);
 }
@@ -266,7 +266,7 @@
 void Service::on(const Finish&)
 {
     m_isFinished = true;
-    reportIfDrained();
+    notifyIfDrained();
 }
 
 void Service::on(const PublishReport& effect)
@@ -275,9 +275,9 @@
 }
 
 // A request that the engine has finished may still be on its way to its entry: ending the process now would cut it.
-void Service::reportIfDrained()
+void Service::notifyIfDrained()
 {
-    if (!m_isFinished || m_attached > 0 || !m_onDrained)
+    if (!m_isFinished || m_attachedCalls > 0 || !m_onDrained)
         return;
     auto onDrained = std::move(m_onDrained);
     m_onDrained = nullptr;
--- a/src/agent/service.h
+++ b/src/agent/service.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "src/agent/run.h"
+#include "src/agent/engine-run.h"
 #include "src/process/outbox.h"
 #include "src/rpc/agent.capnp.h"
 
@@ -31,7 +31,7 @@
     capnp::Capability::Client bootstrap();
 
     /// Carries out an effect of the reducer; on the traffic thread.
-    void perform(const Effect& effect);
+    void execute(const Effect& effect);
 
     /// Tail of each answer kept for a new connection; holds for requests that start from now on.
     void setResumeBuffer(Bytes size) { m_options.resumeBufferBytes = size.value(); }
@@ -63,28 +63,28 @@
     void on(const StopRun& effect);
     void on(const ProbeEngine&) { }
     void on(const ConcludeRun& effect);
-    void on(const ForgetRun& effect);
+    void on(const DiscardRun& effect);
     void on(const Finish& effect);
     void on(const PublishReport& effect);
 
     CallId nextCall() { return CallId(++m_lastCall); }
-    void attach(const std::shared_ptr<Call>& call, const std::shared_ptr<Run>& run);
-    std::shared_ptr<Call> take(CallId id);
-    void reportIfDrained();
+    void attach(const std::shared_ptr<Call>& call, const std::shared_ptr<EngineRun>& run);
+    std::shared_ptr<Call> takeCall(CallId id);
+    void notifyIfDrained();
 
     boost::asio::io_context& m_ioContext;
-    EngineClient m_engine;
+    EngineConnectionPool m_engine;
     ServiceOptions m_options;
     process::Outbox<Event> m_outbox;
     std::function<void()> m_onDrained;
 
     std::uint64_t m_lastCall { 0 };
-    std::unordered_map<CallId, std::shared_ptr<Call>> m_calls;
-    std::unordered_map<CallId, kj::Own<kj::PromiseFulfiller<Verdict>>> m_cancels;
-    std::unordered_map<CallId, kj::Own<kj::PromiseFulfiller<policy::ClaimReply>>> m_claims;
-    std::unordered_map<RunId, std::shared_ptr<Run>> m_runs;
+    std::unordered_map<CallId, std::shared_ptr<Call>> m_pendingCalls;
+    std::unordered_map<CallId, kj::Own<kj::PromiseFulfiller<Verdict>>> m_pendingCancels;
+    std::unordered_map<CallId, kj::Own<kj::PromiseFulfiller<policy::ClaimReply>>> m_pendingClaims;
+    std::unordered_map<RunId, std::shared_ptr<EngineRun>> m_runs;
     PublishReport m_report;
-    std::size_t m_attached { 0 };
+    std::size_t m_attachedCalls { 0 };
     bool m_isFinished { false };
 };
 
--- a/test/agent-reducer_test.cc
+++ b/test/agent-reducer_test.cc
@@ -9,7 +9,7 @@
 
 const BackendServerId self("engine-1");
 const Incarnation incarnation(7);
-const Incarnation entry(100);
+const Incarnation entryIncarnation(100);
 
 /// An agent's reducer with a clock of its own, and what it did last.
 class Agent {
@@ -17,10 +17,10 @@
     Agent()
         : m_reducer(Reducer::create(options(), m_now).value())
     {
-        give(EngineUp { 0, m_now, m_now });
+        apply(EngineUp { 0, m_now, m_now });
     }
 
-    Effects give(const Event& event)
+    Effects apply(const Event& event)
     {
         Effects effects;
         m_reducer.apply(event, effects);
@@ -32,15 +32,15 @@
         RunRequested event { CallId(call), ticket(serial), Fingerprint(fingerprint) };
         event.deadline = m_now + seconds(10);
         event.now = m_now;
-        return give(event);
+        return apply(event);
     }
 
-    Effects end(std::uint64_t serial, RunEnd how) { return give(RunEnded { runIdOf(ticket(serial)), how, m_now }); }
+    Effects endRun(std::uint64_t serial, RunOutcome outcome) { return apply(RunEnded { runIdOf(ticket(serial)), outcome, m_now }); }
 
-    static policy::Ticket ticket(std::uint64_t serial, Incarnation agent = incarnation) { return { self, agent, policy::MintEpoch(1), entry, serial }; }
+    static policy::Ticket ticket(std::uint64_t serial, Incarnation agent = incarnation) { return { self, agent, policy::MintEpoch(1), entryIncarnation, serial }; }
 
     TimePoint now() const { return m_now; }
-    void pass(milliseconds time) { m_now += time; }
+    void advanceClock(milliseconds time) { m_now += time; }
     const Reducer& reducer() const { return m_reducer; }
 
 private:
@@ -69,7 +69,7 @@
 }
 
 /// The verdict of the only refusal among `effects`.
-Verdict refusal(const Effects& effects)
+Verdict refusalVerdict(const Effects& effects)
 {
     REQUIRE(all<RefuseCall>(effects).size() == 1);
     return all<RefuseCall>(effects)[0].verdict;
@@ -86,7 +86,7 @@
     auto second = agent.run(2, 5);
     CHECK(all<StartRun>(second).empty());
     CHECK(all<AttachCall>(second).size() == 1);
-    agent.end(5, RunEnd::Answered);
+    agent.endRun(5, RunOutcome::Answered);
     auto third = agent.run(3, 5);
     CHECK(all<StartRun>(third).empty());
     CHECK(all<AttachCall>(third).size() == 1);
@@ -97,12 +97,12 @@
 TEST_CASE("Agent: a late copy of a request that was cancelled as not run never starts")
 {
     Agent agent;
-    auto cancelled = agent.give(CancelRequested { CallId(1), Agent::ticket(5), agent.now() });
+    auto cancelled = agent.apply(CancelRequested { CallId(1), Agent::ticket(5), agent.now() });
     REQUIRE(all<AnswerCancel>(cancelled).size() == 1);
     CHECK(all<AnswerCancel>(cancelled)[0].verdict == Verdict::NotRun);
     auto late = agent.run(2, 5);
     CHECK(all<StartRun>(late).empty());
-    CHECK(refusal(late) == Verdict::NotRun);
+    CHECK(refusalVerdict(late) == Verdict::NotRun);
 }
 
 // The agent refuses while its engine is down, and the caller is told "not run". The engine comes back, and then a second
@@ -110,12 +110,12 @@
 TEST_CASE("Agent: what was refused as not run stays not run when the engine is back")
 {
     Agent agent;
-    agent.give(EngineDown { false, agent.now(), agent.now() });
-    CHECK(refusal(agent.run(1, 5)) == Verdict::NotRun);
-    agent.give(EngineUp { 0, agent.now(), agent.now() });
+    agent.apply(EngineDown { false, agent.now(), agent.now() });
+    CHECK(refusalVerdict(agent.run(1, 5)) == Verdict::NotRun);
+    agent.apply(EngineUp { 0, agent.now(), agent.now() });
     auto late = agent.run(2, 5);
     CHECK(all<StartRun>(late).empty());
-    CHECK(refusal(late) == Verdict::NotRun);
+    CHECK(refusalVerdict(late) == Verdict::NotRun);
     CHECK(all<StartRun>(agent.run(3, 6)).size() == 1);
 }
 
@@ -126,20 +126,20 @@
     RunRequested event { CallId(1), Agent::ticket(5, Incarnation(6)), Fingerprint(1) };
     event.deadline = agent.now() + seconds(10);
     event.now = agent.now();
-    auto effects = agent.give(event);
+    auto effects = agent.apply(event);
     CHECK(all<StartRun>(effects).empty());
-    CHECK(refusal(effects) == Verdict::MayHaveRun);
+    CHECK(refusalVerdict(effects) == Verdict::MayHaveRun);
 }
 
 TEST_CASE("Agent: one that leaves starts nothing, goes on with what runs, and then finishes")
 {
     Agent agent;
     agent.run(1, 5);
-    auto leaving = agent.give(LeaveRequested { agent.now() });
+    auto leaving = agent.apply(LeaveRequested { agent.now() });
     CHECK(all<Finish>(leaving).empty());
-    CHECK(refusal(agent.run(2, 6)) == Verdict::NotRun);
+    CHECK(refusalVerdict(agent.run(2, 6)) == Verdict::NotRun);
     CHECK(all<AttachCall>(agent.run(3, 5)).size() == 1);
-    CHECK(all<Finish>(agent.end(5, RunEnd::Answered)).size() == 1);
+    CHECK(all<Finish>(agent.endRun(5, RunOutcome::Answered)).size() == 1);
 }
 
 // Two requests are at the engine when it crashes. Their entries hear of it only once the agent knows that it was a
@@ -149,15 +149,15 @@
     Agent agent;
     agent.run(1, 5, 11);
     agent.run(2, 6, 12);
-    agent.pass(milliseconds(10));
+    agent.advanceClock(milliseconds(10));
     auto stale = agent.now() - milliseconds(5);
-    auto broken = agent.end(5, RunEnd::Broken);
+    auto broken = agent.endRun(5, RunOutcome::Broken);
     CHECK(all<ProbeEngine>(broken).size() == 1);
     CHECK(all<ConcludeRun>(broken).empty());
-    CHECK(all<ConcludeRun>(agent.give(EngineUp { 0, stale, agent.now() })).empty());
+    CHECK(all<ConcludeRun>(agent.apply(EngineUp { 0, stale, agent.now() })).empty());
 
-    agent.pass(milliseconds(10));
-    auto crash = agent.give(EngineDown { true, agent.now(), agent.now() });
+    agent.advanceClock(milliseconds(10));
+    auto crash = agent.apply(EngineDown { true, agent.now(), agent.now() });
     REQUIRE(all<ConcludeRun>(crash).size() == 1);
     CHECK(all<ConcludeRun>(crash)[0].crash != policy::CrashId());
     CHECK(all<PublishReport>(crash).back().suspicions.size() == 2);
@@ -173,12 +173,12 @@
     event.runsAlone = true;
     event.deadline = agent.now() + seconds(10);
     event.now = agent.now();
-    auto suspect = agent.give(event);
+    auto suspect = agent.apply(event);
     REQUIRE(all<StartRun>(suspect).size() == 1);
     CHECK(all<StartRun>(suspect)[0].isHeld);
-    CHECK(refusal(agent.run(3, 7)) == Verdict::NotRun);
-    CHECK(all<ReleaseRun>(agent.end(5, RunEnd::Answered)).size() == 1);
-    CHECK(refusal(agent.run(4, 8)) == Verdict::NotRun);
-    agent.end(6, RunEnd::Answered);
+    CHECK(refusalVerdict(agent.run(3, 7)) == Verdict::NotRun);
+    CHECK(all<ReleaseRun>(agent.endRun(5, RunOutcome::Answered)).size() == 1);
+    CHECK(refusalVerdict(agent.run(4, 8)) == Verdict::NotRun);
+    agent.endRun(6, RunOutcome::Answered);
     CHECK(all<StartRun>(agent.run(5, 9)).size() == 1);
 }
