--- a/src/agent/background-planner.cc
+++ b/src/agent/background-planner.cc
@@ -18,13 +18,14 @@
 
 namespace {
 
-/// Reports taken in one half-life of the fast average, within bounds.
+/// Load reports per half-life of the fast average, as far as the interval's limits allow.
 constexpr int reportsPerHalfLife = 4;
 constexpr milliseconds minReportInterval { 50 };
 constexpr milliseconds maxReportInterval { 30'000 };
 constexpr milliseconds responseTimeout { 1500 };
 constexpr int slowToFastHalfLifeRatio = 8;
-/// Decisions made at once; each leaves what its bound of predictions did not reach to the next.
+/// Limit of consecutive plans after one load report. The number of predictions in a plan is limited; the next plan
+/// continues where the last one stopped.
 constexpr int maxPlansPerReport = 40;
 
 std::uint32_t minuteOfDay(std::chrono::minutes utcOffset)
@@ -115,7 +116,7 @@
     }
 }
 
-/// Tokens so far by layer and expert; empty when the engine doesn't say.
+/// Returns the engine's token counts since its start, by layer and expert; empty when the engine doesn't report them.
 asio::awaitable<std::vector<double>> BackgroundPlanner::readTokens()
 {
     try {
@@ -131,7 +132,7 @@
     if (!m_planner || totals.empty() || m_isPlanning)
         return;
     auto lastTotals = std::exchange(m_lastTotals, totals);
-    // A count that shrank was made by a new life of the engine: the next report starts from it.
+    // A count that has decreased comes from a new incarnation of the engine. The next report is relative to it.
     bool isContinuous = lastTotals.size() == totals.size() && std::equal(lastTotals.begin(), lastTotals.end(), totals.begin(), std::less_equal<>());
     if (!isContinuous || lastTotals == totals)
         return;
@@ -150,7 +151,7 @@
             result = planNextMap(*planner, now, minute);
         asio::post(m_ioContext, [this, planner, result] {
             m_isPlanning = false;
-            // Settings changed meanwhile: the plan was made under the old ones.
+            // If the settings have changed meanwhile, the plan was made with the old settings and is dropped.
             if (planner == m_planner && result.planned)
                 m_onPlanned(*result.planned);
         });
--- a/src/agent/background-planner.h
+++ b/src/agent/background-planner.h
@@ -16,15 +16,15 @@
 
 namespace swiftloft::agent {
 
-/// A map that is worth changing to.
+/// A planned map, with the number of experts and bytes that a change to it moves.
 struct PlannedMap {
     expertmap::ExpertMap map;
     std::size_t movedExperts { 0 };
     Bytes movedBytes;
 };
 
-/// Reads the tokens of each expert from the engine of rank 0 and plans the group's next map. Belongs to the control
-/// thread; decisions, which may take 50 ms each, are made on a thread of their own.
+/// Reads the token counts of each expert from the engine of rank 0 and plans the group's next map. Belongs to the control
+/// thread; plans, which may take 50 ms each, are computed on a separate thread.
 class BackgroundPlanner {
 public:
     using OnPlanned = std::function<void(const PlannedMap&)>;
@@ -32,11 +32,12 @@
     BackgroundPlanner(boost::asio::io_context& ioContext, boost::asio::ip::tcp::endpoint engine, OnPlanned onPlanned);
     ~BackgroundPlanner();
 
-    /// Begins anew from `current`. An option out of range leaves the group without plans, and is returned.
+    /// Starts a new planner from the map `current`. If a setting is out of range, nothing is planned and the error is
+    /// returned.
     std::optional<Error> start(const settings::GroupSettings& settings, const expertmap::ExpertMap& current);
     void stop();
     bool isActive() const { return m_planner != nullptr; }
-    /// While false, reports are taken but nothing is planned.
+    /// While false, load reports are processed but nothing is planned.
     void setMayPlan(bool mayPlan) { m_mayPlan = mayPlan; }
 
 private:
--- a/src/agent/daemon.cc
+++ b/src/agent/daemon.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr milliseconds tickInterval { 100 };
-/// How long after its first use a client's own key is kept from running again; docs/REFERENCE.md promises it.
+/// How long after its first use a client's own key can't run again. docs/REFERENCE.md promises this period.
 constexpr seconds clientKeyRetention { 120 };
 
 ReducerOptions reducerOptions(const process::ProcessConfig& config, Incarnation incarnation)
--- a/src/agent/daemon.h
+++ b/src/agent/daemon.h
@@ -20,12 +20,12 @@
 
 namespace swiftloft::agent {
 
-/// The agent process: the control thread (the caller of `run`) with the reducer, and one traffic thread.
+/// The agent process. The control thread (the caller of `run()`) owns the reducer; one traffic thread owns the `Service`.
 class Daemon {
 public:
     Daemon(process::ProcessConfig config, Incarnation incarnation);
 
-    /// Returns when the agent has shut down gracefully.
+    /// Runs the agent. Returns when it has shut down gracefully.
     void run();
 
 private:
@@ -51,7 +51,7 @@
     std::unique_ptr<process::StopSignals> m_signals;
     std::unique_ptr<daemon::FleetControl> m_fleetControl;
     std::optional<settings::Tree> m_settings;
-    /// The service that the published list says this backend server is of.
+    /// Service of this backend server according to the published list.
     ServiceName m_serviceName;
 
     rpc::EventLoop m_traffic;
--- a/src/agent/engine-connection-pool.cc
+++ b/src/agent/engine-connection-pool.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// True when the other end has neither closed the connection nor sent something unasked.
+/// True when the engine has neither closed the connection nor sent unsolicited data.
 bool isStillOpen(beast::tcp_stream& stream)
 {
     boost::system::error_code ec;
--- a/src/agent/engine-connection-pool.h
+++ b/src/agent/engine-connection-pool.h
@@ -11,16 +11,18 @@
 
 namespace swiftloft::agent {
 
-/// Connections to the engine in whose slot the agent runs. Belongs to the traffic thread.
+/// Pool of HTTP connections to the engine in whose slot the agent runs. Belongs to the traffic thread.
 class EngineConnectionPool {
 public:
     EngineConnectionPool(boost::asio::io_context& ioContext, boost::asio::ip::tcp::endpoint endpoint);
 
-    /// A connected stream whose deadline is set to `deadline`. With `allowsReuse`, it may be one that was kept open;
-    /// the engine may just have closed it, so only a request that may run again should take it.
+    /// Returns a connected stream that expires at `deadline`. With `allowsReuse`, the stream may be an idle one of the
+    /// pool. The engine may just have closed an idle stream, so only a request that may run twice should allow reuse.
+    ///
+    /// Throws `boost::system::system_error` when the engine can't be connected to.
     boost::asio::awaitable<boost::beast::tcp_stream> acquire(TimePoint deadline, bool allowsReuse);
 
-    /// Keeps a stream open whose last answer was read whole.
+    /// Returns a stream to the pool. Its last response must have been read to the end.
     void release(boost::beast::tcp_stream stream);
 
     const boost::asio::ip::tcp::endpoint& endpoint() const { return m_endpoint; }
--- a/src/agent/engine-monitor.cc
+++ b/src/agent/engine-monitor.cc
@@ -21,7 +21,7 @@
 
 constexpr milliseconds pollInterval { 200 };
 constexpr milliseconds responseTimeout { 1500 };
-/// Weight of the newest report in the running mean of an engine's speed.
+/// Weight of the newest sample in the moving average of the engine's speed.
 constexpr double speedSampleWeight = 0.2;
 
 double numberAt(const boost::json::object& object, const char* name)
@@ -62,16 +62,16 @@
         updateSpeed(co_await process::fetchPage(m_ioContext, m_engine, "/load", Clock::now() + responseTimeout));
         co_return State::Up;
     } catch (const Exception&) {
-        // A plain server has no load page; whatever it answers, it is up.
+        // A server without a load page responds with an error. Any response shows that it is up.
         co_return State::Up;
     } catch (const boost::system::system_error& error) {
         co_return error.code() == beast::error::timeout ? State::Unresponsive : State::Unreachable;
     }
 }
 
-// Engines report what they turn out now, which is little while little runs. The speed that says how long a backlog takes
-// is that of a full batch: tokens a second of one request, times the batch. A plain server has no load page; whatever it
-// answers, it is up.
+// Engines report their current output, which is low while few requests run. The time that a backlog takes depends on the
+// speed of a full batch: the tokens per second of one request times the batch size. A body that is not a JSON object is
+// ignored: a server without a load page may respond with anything.
 void EngineMonitor::updateSpeed(const std::string& body)
 {
     boost::json::error_code ec;
--- a/src/agent/engine-monitor.h
+++ b/src/agent/engine-monitor.h
@@ -12,22 +12,23 @@
 
 namespace swiftloft::agent {
 
-/// Polls an engine's load page and reports after each probe how the engine is. Belongs to the control thread.
+/// Polls the engine's load page and reports the state of the engine after each probe. Belongs to the control thread.
 class EngineMonitor {
 public:
     EngineMonitor(boost::asio::io_context& ioContext, boost::asio::ip::tcp::endpoint engine, std::function<void(const Event&)> onEvent);
 
     void start();
 
-    /// Probes at once; the event that follows belongs to a probe that began after this call.
+    /// Starts the next probe at once instead of waiting for its time. Has no effect while a probe is in progress. Each event
+    /// carries the time at which its probe started.
     void probeNow() { m_timer.cancel(); }
 
 private:
     enum class State {
         Up,
-        /// The process answers no connection.
+        /// Connections to the engine fail or are reset: its process has gone.
         Unreachable,
-        /// Connections open, but no answer comes in time.
+        /// The engine accepts connections but doesn't respond in time.
         Unresponsive,
     };
 
--- a/src/agent/engine-order-client.cc
+++ b/src/agent/engine-order-client.cc
@@ -16,13 +16,14 @@
 
 namespace {
 
-/// Bound of one exchange. The rank agent reads the engine anew long before; this only frees the connection.
+/// Limit of one exchange. The rank agent reads the engine's status again long before; this limit only frees the
+/// connection.
 constexpr milliseconds responseTimeout { 1000 };
 constexpr unsigned httpVersion11 = 11;
 
 bool isResponseStatus(http::status status)
 {
-    // A refusal for an old fencing number carries the engine's status and its highest number as well.
+    // The refusal of an outdated fencing number also carries the engine's status and its highest fencing number.
     return status == http::status::ok || status == http::status::conflict;
 }
 
@@ -51,8 +52,8 @@
 
 void EngineOrderClient::send(const expertmap::EngineOrder& order, const expertmap::ExpertMap* map)
 {
-    // Failure: an engine that hangs answers much later. On the same connection its answer would be read as that of a
-    // newer order, so the connection goes with the order that was given up.
+    // Failure: an engine that hangs responds much later. On the same connection its response would be taken for that of a
+    // newer order, so the connection is closed together with the abandoned order.
     if (m_connection && m_connection->isBusy) {
         m_connection->stream.close();
         m_connection.reset();
--- a/src/agent/engine-order-client.h
+++ b/src/agent/engine-order-client.h
@@ -12,21 +12,22 @@
 
 namespace swiftloft::agent {
 
-/// The one connection on which a rank agent's orders reach its engine. Belongs to the control thread.
+/// Sends a rank agent's orders to its engine over a single connection. Belongs to the control thread.
 ///
-/// An order is never sent twice: what became of one whose connection broke is read from the engine afterwards.
+/// An order is never sent twice. When the connection breaks, the outcome of the order is read from the engine afterwards.
 class EngineOrderClient {
 public:
     struct Hooks {
         std::function<void(const expertmap::rank::EngineAnswered&)> onResponse;
-        /// The connection broke; the next order opens another.
+        /// The connection broke. The next order opens a new one.
         std::function<void()> onDisconnected;
     };
 
     EngineOrderClient(boost::asio::io_context& ioContext, boost::asio::ip::tcp::endpoint engine, Hooks hooks);
     ~EngineOrderClient();
 
-    /// Writes an order. One that still waits for its answer is given up with its connection.
+    /// Sends an order. If an earlier order is still waiting for its response, that order is abandoned and its connection
+    /// closed.
     void send(const expertmap::EngineOrder& order, const expertmap::ExpertMap* map);
 
 private:
--- a/src/agent/engine-run.cc
+++ b/src/agent/engine-run.cc
@@ -123,7 +123,7 @@
     parser.header_limit(maxHeaderBytes);
     parser.body_limit(boost::none);
     co_await http::async_read_header(stream, buf, parser, use_awaitable);
-    // The head waits for the first bytes of the body or the end and travels with them.
+    // The response head is sent with the first bytes of the body or, if the body is empty, with the end mark.
     m_responseHead = parser.get().base();
     std::array<char, chunkBytes> chunk;
     while (!parser.is_done()) {
@@ -158,8 +158,8 @@
     return m_buffer.end() < servedOffset + m_bufferBytes;
 }
 
-// Reading on while no call takes the answer would drop bytes that a new connection is about to ask for; so the engine's
-// connection waits, until a call attaches or the deadline passes.
+// Reading on while no call receives the response would drop bytes that a new connection may still request. Reading from
+// the engine therefore pauses until there is space again, a call attaches or the deadline passes.
 asio::awaitable<void> EngineRun::waitForBufferSpace()
 {
     while (!hasBufferSpace()) {
@@ -214,7 +214,7 @@
 
 kj::Promise<CallOutcome> EngineRun::pump(std::shared_ptr<Subscriber> subscriber)
 {
-    // Made anew for each use: kj keeps a reference to a continuation that is passed as an lvalue.
+    // Created for each use, because kj keeps a reference to a continuation that is passed as an lvalue.
     auto makeContinuation = [this, &subscriber]() { return [this, subscriber]() { return pump(subscriber); }; };
     auto bytes = m_buffer.read(subscriber->offset, chunkBytes);
     if (!bytes) {
--- a/src/agent/engine-run.h
+++ b/src/agent/engine-run.h
@@ -21,13 +21,13 @@
 
 namespace swiftloft::agent {
 
-/// A request as the engine is to get it.
+/// HTTP request to send to the engine.
 struct EngineRequest {
     boost::beast::http::request<boost::beast::http::string_body> message;
     bool isRepeatable { false };
 };
 
-/// How one call about a request ended.
+/// Result of one call that refers to a request.
 struct CallOutcome {
     OutcomeKind kind;
     Verdict verdict;
@@ -35,8 +35,8 @@
     policy::CrashId crash;
 };
 
-/// One request at the engine: sends it, buffers the tail of the answer and passes it on to any number of calls, each at
-/// its own offset. Belongs to the traffic thread.
+/// Runs one request at the engine. Sends the request, buffers the tail of the response and forwards the response to any
+/// number of calls, each at its own offset. Belongs to the traffic thread.
 class EngineRun : public std::enable_shared_from_this<EngineRun> {
 public:
     using OnEnded = std::function<void(RunOutcome)>;
@@ -44,18 +44,19 @@
     EngineRun(boost::asio::io_context& ioContext, EngineConnectionPool& engine, EngineRequest request, TimePoint deadline, std::size_t bufferBytes);
     ~EngineRun();
 
-    /// Called once, when the request has ended at the engine or never got there.
+    /// Sets a callback that is called once, when the request has ended at the engine or can no longer be sent to it.
     void setOnEnded(OnEnded onEnded) { m_onEnded = std::move(onEnded); }
 
     void start();
 
-    /// Stops the request at the engine by closing its connection; one that has not been started never will be.
+    /// Stops the request at the engine by closing its connection. A request that has not started never will.
     void stop();
 
-    /// A broken request gets its end: it is known whether the engine crashed with it.
+    /// Ends a broken request, now that it is known whether the engine crashed. `crash` is 0 if it did not.
     void conclude(policy::CrashId crash);
 
-    /// Sends frames from body offset `offset` on to `sink` until the answer ends.
+    /// Sends frames from body offset `offset` on to `sink` until the response ends. Resolves to a refusal if the buffer no
+    /// longer holds the bytes at `offset`.
     kj::Promise<CallOutcome> attach(std::uint64_t offset, bool needsHead, rpc::schema::FrameSink::Client sink);
 
 private:
@@ -94,7 +95,7 @@
     policy::CrashId m_crash;
 
     std::list<std::weak_ptr<Subscriber>> m_subscribers;
-    /// Offset up to which the slowest attached call, or the last one that was, has been served.
+    /// Offset up to which the response was sent to the last call served. Limits reading while no call is attached.
     std::uint64_t m_servedOffset { 0 };
     std::vector<kj::Own<kj::PromiseFulfiller<void>>> m_waiters;
     boost::asio::steady_timer m_bufferSpaceTimer;
--- a/src/agent/events.h
+++ b/src/agent/events.h
@@ -15,12 +15,13 @@
 #include <variant>
 #include <vector>
 
-/// Events an agent's reducer takes and effects it gives. Time comes in with each event; nothing here reads a clock.
+/// Events that an agent's reducer processes and effects that it returns. Each event carries the time; the reducer reads no
+/// clock.
 namespace swiftloft::agent {
 
-/// One call of an entry. Several calls may be about one ticket.
+/// Identifies one RPC call of an entry. Several calls may refer to the same ticket.
 using CallId = Strong<struct CallIdTag, std::uint64_t>;
-/// A request at this agent, by its ticket; unique within this incarnation.
+/// Identifies a request at this agent by its ticket. Unique within this incarnation.
 using RunId = Strong<struct RunIdTag, std::string>;
 
 RunId runIdOf(const policy::Ticket& ticket);
@@ -33,11 +34,11 @@
     policy::Ticket ticket;
     Fingerprint fingerprint;
     bool runsAlone { false };
-    /// Prompt and expected output.
+    /// Tokens of the prompt and of the expected output.
     Tokens totalTokens;
     TimePoint deadline;
     TimePoint now;
-    /// For a request under a client's own key that may not run twice.
+    /// Present for a request with a client's own key, which must not run twice.
     std::optional<policy::ClaimRequest> claim;
     bool attachesOnly { false };
 };
@@ -52,7 +53,7 @@
     policy::ClaimRequest request;
 };
 
-/// An instance list was learned, from the platform or from a peer.
+/// An instance list was received, from the platform or from a peer.
 struct InstanceListReceived {
     policy::ListRevision revision;
     TimePoint now;
@@ -67,9 +68,9 @@
 /// How a request ended at the engine.
 enum class RunOutcome {
     Answered,
-    /// The engine was never reached: nothing was sent.
+    /// No connection to the engine was made: nothing was sent.
     NotReached,
-    /// The engine broke off after the request was sent.
+    /// The connection broke after the request was sent.
     Broken,
     Cancelled,
     DeadlinePassed,
@@ -81,21 +82,22 @@
     TimePoint now;
 };
 
-/// The engine answers, at the speed it says; 0 when it does not say. The probe began at `probedAt`.
+/// The engine responds. `tokensPerSecond` is the speed that it reports, or 0 if it reports none. The probe started at
+/// `probedAt`.
 struct EngineUp {
     double tokensPerSecond { 0 };
     TimePoint probedAt;
     TimePoint now;
 };
 
-/// The engine does not answer. `hasCrashed` when its process has gone: connections are refused or were reset.
+/// The engine does not respond. `hasCrashed` is set if its process has gone: connections are refused or were reset.
 struct EngineDown {
     bool hasCrashed { false };
     TimePoint probedAt;
     TimePoint now;
 };
 
-/// What an entry knows of crashes.
+/// An entry reported the suspects of crashes that it knows of.
 struct SuspicionsReceived {
     std::vector<policy::SuspicionMessage> messages;
     TimePoint now;
@@ -111,7 +113,7 @@
 
 using Event = std::variant<RunRequested, ClaimRequested, ClaimReleased, InstanceListReceived, CancelRequested, RunEnded, EngineUp, EngineDown, SuspicionsReceived, LeaveRequested, Tick>;
 
-/// Makes the request of `call` ready. It goes to the engine at once, or, while it `isHeld`, with `ReleaseRun`.
+/// Prepares the request of `call`. It is sent to the engine at once or, if `isHeld`, when `ReleaseRun` follows.
 struct StartRun {
     CallId call;
     RunId run;
@@ -123,7 +125,7 @@
     RunId run;
 };
 
-/// Sends the answer of a request that runs or has run to one more call.
+/// Sends the response of a running or finished request to one more call.
 struct AttachCall {
     CallId call;
     RunId run;
@@ -149,30 +151,30 @@
     RunId run;
 };
 
-/// Asks the engine at once how it is: a request has broken.
+/// Probes the engine at once, because the connection of a request broke.
 struct ProbeEngine {
 };
 
-/// A broken request may be answered: it is known whether the engine crashed with it. `crash` is 0 when it did not.
+/// Ends the calls of a broken request, now that it is known whether the engine crashed. `crash` is 0 if it did not.
 struct ConcludeRun {
     RunId run;
     policy::CrashId crash;
 };
 
-/// The buffered answer of a finished request may go.
+/// Discards the buffered response of a finished request.
 struct DiscardRun {
     RunId run;
 };
 
-/// Nothing is in progress and no more will come: the process may end.
+/// No request is in progress and no more will start: the process may exit.
 struct Finish {
 };
 
-/// What heartbeats report from now on.
+/// State that heartbeats report from now on.
 struct PublishReport {
     bool isLeaving { false };
     bool isEngineUp { false };
-    /// A suspect has, or waits for, the engine to itself.
+    /// A crash suspect runs alone at the engine or is waiting to do so.
     bool isReserved { false };
     std::uint32_t running { 0 };
     Tokens pendingTokens;
--- a/src/agent/main.cc
+++ b/src/agent/main.cc
@@ -5,7 +5,7 @@
 
 int main(int argc, char** argv)
 {
-    return process::runDaemon(argc, argv, "swiftloft-agent", "The process in a backend server's slot: the only way to its engine.",
+    return process::runDaemon(argc, argv, "swiftloft-agent", "The agent in a backend server's slot. All requests to the engine pass through it.",
         [](process::ProcessConfig config, Incarnation incarnation) {
             if (!config.backendServer || !config.rpc)
                 throw Exception({ ErrorCode::MalformedInput, "an agent needs the keys 'backend-server' and 'rpc' in section '[process]'" });
--- a/src/agent/map-control.cc
+++ b/src/agent/map-control.cc
@@ -15,7 +15,7 @@
 
 MapShape shapeOf(const settings::GroupSettings& settings)
 {
-    // The schema keeps ranks above 0.
+    // The settings schema ensures that the number of ranks is above 0.
     auto evenShare = (settings.experts + settings.ranks - 1) / settings.ranks;
     return { settings.ranks, settings.layers, settings.experts, evenShare + settings.spareSlotsPerRank };
 }
@@ -41,7 +41,7 @@
     if (!settings)
         return;
     m_groupSettings = *settings;
-    // The planner has the weights of its beginning: the next look at the group begins it anew.
+    // A planner keeps the weights it was started with. The next tick starts a new one with the new settings.
     if (m_backgroundPlanner)
         m_backgroundPlanner->stop();
 }
@@ -81,7 +81,7 @@
     auto shape = shapeOf(settings);
     auto initial = ExpertMap::even(shape);
     if (!initial || listed.rank->value() >= shape.ranks) {
-        m_problem = !initial ? initial.error().message : fmt::format("rank {} of the list is not below the {} ranks of the settings", listed.rank->value(), shape.ranks);
+        m_problem = !initial ? initial.error().message : fmt::format("rank {} in the published list is out of range: the settings give the group {} ranks", listed.rank->value(), shape.ranks);
         return;
     }
     GroupMember::Options options;
@@ -144,7 +144,7 @@
     });
 }
 
-/// Plans go from the map that the engines show, so a planner begins only when that is known and held.
+/// A plan starts from the map that the engines report, so the planner starts only when that map is known and in the store.
 void MapControl::updatePlanning()
 {
     auto* coordinator = m_member->coordinator();
--- a/src/agent/map-control.h
+++ b/src/agent/map-control.h
@@ -15,18 +15,17 @@
 
 namespace swiftloft::agent {
 
-/// An agent's part in the expert maps of its rank group, as the published list and the settings tree give it. Belongs to
-/// the control thread.
+/// Makes the agent a member of its rank group and, at rank 0, plans the group's expert maps. Belongs to the control thread.
 ///
-/// Begins once the published list gives this agent a group and a rank and the settings tree gives the group its sizes.
-/// The sizes then hold for the life of the process.
+/// Starts once the published list gives this agent a group and a rank and the settings tree gives the group's sizes. The
+/// sizes then stay the same for the lifetime of the process.
 class MapControl {
 public:
     struct Options {
-        /// Id in the published list.
+        /// Id of this agent in the published list.
         std::string self;
         Incarnation incarnation;
-        /// Messages of the group come to this address over UDP; entries use it over TCP.
+        /// Address of the agent: receives messages of the group over UDP and calls of entries over TCP.
         boost::asio::ip::tcp::endpoint rpc;
         boost::asio::ip::tcp::endpoint engine;
     };
@@ -34,12 +33,12 @@
     MapControl(boost::asio::io_context& ioContext, const Options& options);
     ~MapControl();
 
-    /// These two throw `Exception` when the address for messages of the group can't be bound.
+    /// `setSettings` and `setView` throw `Exception` when the UDP address for messages of the group can't be bound.
     void setSettings(const settings::Tree& tree);
     void setView(const std::shared_ptr<const membership::View>& view);
     void stop();
 
-    /// The status page.
+    /// Returns the status page.
     std::string toJson() const;
 
 private:
@@ -56,12 +55,12 @@
     std::shared_ptr<const membership::View> m_view;
     std::optional<settings::Tree> m_settings;
     bool m_isStopped { false };
-    /// Why there is no part in the group, or no plans; empty when all is well.
+    /// Why the agent has not joined the group or does not plan maps; empty when there is no problem.
     std::string m_problem;
     settings::GroupSettings m_groupSettings;
     std::unique_ptr<EngineOrderClient> m_orderClient;
     std::unique_ptr<GroupMember> m_member;
-    /// At rank 0 only.
+    /// Exists at rank 0 only.
     std::unique_ptr<BackgroundPlanner> m_backgroundPlanner;
 };
 
--- a/src/agent/map-store.h
+++ b/src/agent/map-store.h
@@ -6,7 +6,7 @@
 
 namespace swiftloft::agent {
 
-/// The contents of the newest few maps that an agent has made or been sent, by version.
+/// Cache of the newest few maps that an agent has planned or received, by version.
 class MapStore {
 public:
     void add(const expertmap::VersionedMap& versionedMap)
@@ -18,7 +18,7 @@
             m_maps.pop_back();
     }
 
-    /// Null when the map is not held.
+    /// Returns null when the map is not in the store.
     const expertmap::ExpertMap* find(MapVersion version) const
     {
         for (auto& versionedMap : m_maps) {
@@ -29,7 +29,7 @@
     }
 
 private:
-    /// A change is between two maps; a few more spare a fetch after a change that was put off.
+    /// A change involves two maps. A few more avoid fetching a map again after a postponed change.
     static constexpr std::size_t maxMaps = 8;
 
     std::deque<expertmap::VersionedMap> m_maps;
--- a/src/agent/reducer.cc
+++ b/src/agent/reducer.cc
@@ -49,10 +49,11 @@
         return Reason::ENGINE_DOWN;
     if (event.deadline <= event.now)
         return Reason::DEADLINE;
-    // The second line behind the entries: news of a crash may have reached this agent and not the entry.
+    // Entries check for quarantine too, but a crash report may have reached this agent and not yet the entry.
     if (m_quarantine.check(event.fingerprint, event.now).action == policy::QuarantineAction::Refuse)
         return Reason::QUARANTINED;
-    // While a suspect has or awaits the engine to itself, its neighbours would become suspects as well if it crashes.
+    // If a suspect crashes the engine, requests running beside it would become suspects as well. No other request starts
+    // while a suspect runs alone or is waiting to.
     if (m_aloneRun)
         return Reason::OVERLOADED;
     if (runsAlone && m_quarantine.check(event.fingerprint, event.now).action == policy::QuarantineAction::Wait)
@@ -67,8 +68,9 @@
     auto mayStart = !m_runs.contains(run) && !event.attachesOnly;
     auto reason = mayStart ? refusalReason(event, isAlone) : Reason::NONE;
     if (reason != Reason::NONE) {
-        // "Not run" may be said only when a copy of this call, late in some connection's buffer, can't start it either.
-        // The cancel leaves that mark, or says that the request has run already.
+        // The verdict "not run" requires that a late copy of this call, still in some connection's buffer, can't start the
+        // request either. Cancelling leaves a tombstone that prevents this. It returns another verdict if the request has
+        // started or its ticket is outside the range that the table remembers.
         auto verdict = m_dedup.cancel(event.ticket);
         if (verdict == Verdict::NotRun) {
             effects.push_back(RefuseCall { event.call, verdict, reason });
@@ -90,8 +92,9 @@
     }
 }
 
-// A client's own key says nothing of who may run it, so the claim decides: it was granted here, to this entry, by this
-// incarnation, and has not ended. Without it a resend through another entry would run the request again.
+// A client's own key doesn't determine which entry may run the request, so the claim decides. The claim must have been
+// granted by this incarnation to this entry and must not have ended. Without this check, a resend through another entry
+// would run the request again.
 bool Reducer::resolveClaim(const RunRequested& event, Effects& effects)
 {
     auto& claim = *event.claim;
@@ -244,7 +247,8 @@
     publishReport(event.now, effects);
 }
 
-// All that was at the engine is suspect: what still counts as running and what has broken since the last good probe.
+// All requests that were at the engine become suspects: those still counted as running and those that have broken since the
+// last probe that found the engine up.
 void Reducer::recordCrash(TimePoint now)
 {
     m_currentCrash = policy::crashIdOf(m_options.self, m_options.incarnation, ++m_crashCount);
@@ -258,9 +262,10 @@
     m_quarantine.onCrash(report, now);
 }
 
-// A broken request is answered only now, with the crash that broke it. An entry that heard of the break alone would try
-// the request elsewhere before anyone suspects it, and a third server could die of it. Only a probe that began after the
-// break says anything: an older one may have found the engine alive a moment before.
+// The calls of a broken request end only now, together with the crash that broke it. If an entry learned only that the
+// connection broke, it would retry the request elsewhere before the request is a suspect, and a third server could crash
+// because of it. Only a probe that started after the break is conclusive: an earlier one may have found the engine alive
+// just before the crash.
 void Reducer::concludeBrokenRuns(TimePoint probedAt, Effects& effects)
 {
     std::erase_if(m_brokenRuns, [&](auto& broken) {
--- a/src/agent/reducer.h
+++ b/src/agent/reducer.h
@@ -17,24 +17,24 @@
 struct ReducerOptions {
     BackendServerId self;
     Incarnation incarnation;
-    /// How long a finished answer is kept for a resend or a new connection.
+    /// How long a finished response is kept for a resent request or a new connection.
     seconds responseRetention { 300 };
-    /// Most finished answers kept.
+    /// Limit of finished responses kept.
     std::size_t maxRetainedResponses { 2000 };
     policy::DedupTableOptions dedup;
     policy::CrashQuarantineOptions quarantine;
     policy::ClaimTableOptions claims;
 };
 
-/// All decisions of an agent about requests: State x Event -> Effects, on the control thread.
+/// Makes all decisions of an agent about requests: State x Event -> Effects. Belongs to the control thread.
 ///
-/// The agent is the only way to its engine, so what this incarnation has started it never starts again, however often
-/// and over whichever connection the request arrives.
+/// All requests reach the engine through its agent. A request that this incarnation has started therefore never starts
+/// again, however often and over whichever connection it arrives.
 class Reducer {
 public:
     static Result<Reducer> create(ReducerOptions options, TimePoint now);
 
-    /// Appends to `effects`.
+    /// Processes an event and appends its effects to `effects`.
     void apply(const Event& event, Effects& effects);
 
     std::size_t running() const { return m_runs.size(); }
@@ -42,7 +42,7 @@
     bool isEngineUp() const { return m_isEngineUp; }
 
 private:
-    /// A request that is at the engine, or held until it may go there alone.
+    /// A request that is at the engine or is held until it can run there alone.
     struct RunRecord {
         policy::Ticket ticket;
         Fingerprint fingerprint;
@@ -59,7 +59,7 @@
         std::optional<policy::ClientKey> clientKey;
     };
 
-    /// A request that broke; whether the engine crashed with it is not known yet.
+    /// A request whose connection broke. It is not known yet whether the engine crashed.
     struct BrokenRun {
         RunId run;
         Fingerprint fingerprint;
@@ -83,7 +83,7 @@
     Reason refusalReason(const RunRequested& event, bool runsAlone) const;
     bool mustRunAlone(const RunRequested& event) const;
     void startRun(const RunRequested& event, bool isAlone, Effects& effects);
-    /// True when a claim settles what becomes of the call; false when it may go on to start.
+    /// Returns true if the claim decided the call. Returns false if the request may start.
     bool resolveClaim(const RunRequested& event, Effects& effects);
     void attachByKey(const RunRequested& event, Effects& effects) const;
     void refuseStart(const RunRequested& event, policy::StartResult result, Effects& effects) const;
@@ -99,17 +99,17 @@
     policy::DedupTable m_dedup;
     policy::CrashQuarantine m_quarantine;
     policy::ClaimTable m_claims;
-    /// Runs and kept answers of client keys.
+    /// Runs and retained responses of requests with a client key.
     std::unordered_map<policy::ClientKey, RunId> m_runByKey;
     std::unordered_map<RunId, RunRecord> m_runs;
-    /// The run that has, or waits for, the engine to itself.
+    /// The run that is alone at the engine or is held until it can be.
     std::optional<RunId> m_aloneRun;
     Tokens m_pendingTokens;
-    /// Oldest first.
+    /// Ordered from oldest to newest.
     std::deque<RetainedResponse> m_retainedResponses;
     std::vector<BrokenRun> m_brokenRuns;
     std::uint64_t m_crashCount { 0 };
-    /// 0 while the engine is not down by a crash.
+    /// 0 unless the engine is down because of a crash.
     policy::CrashId m_currentCrash;
     bool m_isLeaving { false };
     bool m_isEngineUp { false };
--- a/src/agent/replay-buffer.h
+++ b/src/agent/replay-buffer.h
@@ -8,9 +8,9 @@
 
 namespace swiftloft::agent {
 
-/// The last bytes of one answer, so that a new connection can go on where an old one broke.
+/// Buffer of the last bytes of one response, so that a new connection can resume where an old one broke.
 ///
-/// Offsets count body bytes from 0. Bytes older than `capacity` behind the end are dropped.
+/// Offsets count body bytes from 0. At least the last `capacity` bytes are kept; older ones may be dropped.
 class ReplayBuffer {
 public:
     explicit ReplayBuffer(std::size_t capacity)
@@ -20,11 +20,11 @@
 
     void append(std::string_view bytes);
 
-    /// Offset of the first byte still held.
+    /// Offset of the first byte in the buffer.
     std::uint64_t begin() const { return m_begin; }
     std::uint64_t end() const { return m_begin + m_bytes.size(); }
 
-    /// At most `most` bytes from `offset` on; nothing when `offset` is outside of what is held.
+    /// Returns at most `maxBytes` bytes from `offset` on, or nullopt when `offset` is outside the buffered range.
     std::optional<std::string_view> read(std::uint64_t offset, std::size_t maxBytes) const;
 
 private:
--- a/src/agent/service.cc
+++ b/src/agent/service.cc
@@ -33,7 +33,7 @@
 
 } // namespace
 
-/// A `run` call that waits for its answer.
+/// A `run` call whose result is pending.
 struct Service::Call {
     kj::Own<kj::PromiseFulfiller<CallOutcome>> fulfiller;
     rpc::schema::FrameSink::Client sink;
@@ -124,8 +124,8 @@
     event.attachesOnly = request.getAttachesOnly() && event.claim;
     m_outbox.post(std::move(event));
     context.releaseParams();
-    // When the entry's connection goes, the promise and with it this guard are dropped: the pump must stop, while the
-    // request itself goes on for a call on a new connection.
+    // When the entry's connection closes, the promise is dropped and this guard with it. The pump must then stop, while the
+    // request itself continues for a call on a new connection.
     auto stopPump = kj::defer([call]() { call->pumpPromise = nullptr; });
     return pending.promise.then([context](CallOutcome outcome) mutable {
                               auto result = context.getResults().initOutcome();
@@ -274,7 +274,8 @@
     m_report = effect;
 }
 
-// A request that the engine has finished may still be on its way to its entry: ending the process now would cut it.
+// The response of a request that the engine has finished may still be on its way to the entry. Exiting before every attached
+// call has ended would truncate it.
 void Service::notifyIfDrained()
 {
     if (!m_isFinished || m_attachedCalls > 0 || !m_onDrained)
--- a/src/agent/service.h
+++ b/src/agent/service.h
@@ -17,26 +17,27 @@
     std::size_t resumeBufferBytes { 256 * 1024 };
 };
 
-/// The traffic thread's side of an agent: takes calls from entries, asks the control thread what to do with each, and
-/// carries its answers out. Owns all requests in progress and the buffered answers of finished ones.
+/// The agent's RPC service on the traffic thread. Receives calls from entries, posts them to the control thread as events
+/// and executes the effects that the reducer decides on. Owns all requests in progress and the buffered responses of
+/// finished ones.
 class Service {
 public:
-    /// Hands events to the control thread, in order.
+    /// Posts events to the control thread, in order.
     using Post = std::function<void(std::vector<Event>)>;
 
     Service(boost::asio::io_context& ioContext, boost::asio::ip::tcp::endpoint engine, ServiceOptions options, Post post);
     ~Service();
 
-    /// The RPC interface for a `Listener`.
+    /// Returns the RPC interface for a `Listener`.
     capnp::Capability::Client bootstrap();
 
-    /// Carries out an effect of the reducer; on the traffic thread.
+    /// Executes an effect of the reducer. Must be called on the traffic thread.
     void execute(const Effect& effect);
 
-    /// Tail of each answer kept for a new connection; holds for requests that start from now on.
+    /// Sets the size of the response tail that is buffered for new connections. Applies to requests that start from now on.
     void setResumeBuffer(Bytes size) { m_options.resumeBufferBytes = size.value(); }
 
-    /// Called once when the reducer has finished and every attached call has got its answer.
+    /// Sets a callback that is called once, when the reducer has finished and every attached call has ended.
     void setOnDrained(std::function<void()> onDrained) { m_onDrained = std::move(onDrained); }
 
 private:
--- a/test/agent-reducer_test.cc
+++ b/test/agent-reducer_test.cc
@@ -11,7 +11,7 @@
 const Incarnation incarnation(7);
 const Incarnation entryIncarnation(100);
 
-/// An agent's reducer with a clock of its own, and what it did last.
+/// An agent's reducer with a simulated clock.
 class Agent {
 public:
     Agent()
@@ -68,7 +68,7 @@
     return found;
 }
 
-/// The verdict of the only refusal among `effects`.
+/// Returns the verdict of the only refusal among `effects`.
 Verdict refusalVerdict(const Effects& effects)
 {
     REQUIRE(all<RefuseCall>(effects).size() == 1);
@@ -77,9 +77,10 @@
 
 } // namespace
 
-// An entry's connection breaks, and it hands the same request over again on a new one, while the first copy is still in
-// some buffer. Whichever comes first starts the request; the other only gets its answer.
-TEST_CASE("Agent: a request that comes twice starts once")
+// Guards against running a request twice. An entry's connection breaks, and the entry sends the same request again on a new
+// connection while the first copy is still in some buffer. The copy that arrives first starts the request; the other one is
+// attached to its response.
+TEST_CASE("Agent: a request that arrives twice starts once")
 {
     Agent agent;
     CHECK(all<StartRun>(agent.run(1, 5)).size() == 1);
@@ -92,8 +93,8 @@
     CHECK(all<AttachCall>(third).size() == 1);
 }
 
-// An entry gives a request up before it reached the agent and tells its caller "not run". The late copy arrives after
-// the cancel, and must not run.
+// Guards against running a request that was reported as "not run". An entry cancels a request before it has reached the
+// agent and reports "not run" to its caller. The late copy arrives after the cancel and must not run.
 TEST_CASE("Agent: a late copy of a request that was cancelled as not run never starts")
 {
     Agent agent;
@@ -105,9 +106,9 @@
     CHECK(refusalVerdict(late) == Verdict::NotRun);
 }
 
-// The agent refuses while its engine is down, and the caller is told "not run". The engine comes back, and then a second
-// copy of that call arrives.
-TEST_CASE("Agent: what was refused as not run stays not run when the engine is back")
+// Guards against running a request that was reported as "not run". The agent refuses a request while its engine is down,
+// with the verdict "not run". The engine comes back, and then a second copy of that call arrives.
+TEST_CASE("Agent: a request refused as not run never starts after the engine comes back")
 {
     Agent agent;
     agent.apply(EngineDown { false, agent.now(), agent.now() });
@@ -119,7 +120,8 @@
     CHECK(all<StartRun>(agent.run(3, 6)).size() == 1);
 }
 
-// The agent was restarted. A request for its predecessor arrives: it may have run there.
+// Guards against a false "not run". The agent was restarted, and a request for its previous incarnation arrives. The request
+// may have run there.
 TEST_CASE("Agent: a request for an earlier incarnation is refused as may-have-run")
 {
     Agent agent;
@@ -131,7 +133,8 @@
     CHECK(refusalVerdict(effects) == Verdict::MayHaveRun);
 }
 
-TEST_CASE("Agent: one that leaves starts nothing, goes on with what runs, and then finishes")
+// Guards against losing requests at a graceful shutdown: requests in progress must complete before the agent finishes.
+TEST_CASE("Agent: a leaving agent starts no requests, completes those in progress and then finishes")
 {
     Agent agent;
     agent.run(1, 5);
@@ -142,9 +145,10 @@
     CHECK(all<Finish>(agent.endRun(5, RunOutcome::Answered)).size() == 1);
 }
 
-// Two requests are at the engine when it crashes. Their entries hear of it only once the agent knows that it was a
-// crash, so that no entry sends either elsewhere before it is suspected.
-TEST_CASE("Agent: a broken request is answered only when a later probe has told why")
+// Guards against retrying a request that crashed an engine before it is a suspect. Two requests are at the engine when it
+// crashes. Their entries are informed only once the agent knows that it was a crash, so that no entry sends either request
+// elsewhere before then.
+TEST_CASE("Agent: a broken request ends only when a later probe has found the cause")
 {
     Agent agent;
     agent.run(1, 5, 11);
@@ -163,8 +167,8 @@
     CHECK(all<PublishReport>(crash).back().suspicions.size() == 2);
 }
 
-// A suspect of a crash comes again. It waits until nothing else is at the engine, and nothing else starts beside it, so
-// that no innocent request is at the engine if it crashes once more.
+// Guards against suspecting innocent requests. A crash suspect arrives again. It is held until no other request is at the
+// engine, and no other request starts beside it, so that no innocent request is at the engine if it crashes again.
 TEST_CASE("Agent: a suspect runs alone")
 {
     Agent agent;
