--- a/src/gateway/departures.cc
+++ b/src/gateway/departures.cc
@@ -21,7 +21,8 @@
 bool Departures::setList(TimePoint now, StorePosition knownPosition, List list)
 {
     auto before = std::exchange(m_list, std::move(list));
-    // Told with the next hello only: most others see it in their own lists, and one that lapsed may be back in a moment.
+    // Reported with the next hello only: most other entries see the removal in their own lists, and a server whose list
+    // entry expired may be back within moments.
     for (auto& [server, listed] : before) {
         if (!m_list.contains(server))
             update(now, server, knownPosition, now + propagationTime);
--- a/src/gateway/dispatcher.cc
+++ b/src/gateway/dispatcher.cc
@@ -12,21 +12,21 @@
 
 namespace {
 
-/// A client that was refused for want of room comes back after this long, spread so that not all come at once. Most
-/// rushes of a second or two have room for it again by then, and it stays within the third of its time that clients
-/// are ready to wait.
+/// Retry delay for a client that was refused for lack of capacity, jittered so that clients don't all return at once.
+/// Most bursts last a second or two and have capacity for it again by then, and the delay stays within the third of its
+/// time that a client is ready to wait.
 constexpr milliseconds overloadRetryDelay { 500 };
 constexpr milliseconds overloadRetryJitter { 700 };
-/// While a service has no server, or all are forming their groups, it takes about this long until it serves again. A
-/// client that is told to come back sooner is turned away again, and most come back only once.
+/// Time until a service that has no server, or whose groups are all forming, usually serves again. A client that
+/// returns sooner is refused again, and most clients retry only once.
 constexpr milliseconds outageRetryDelay { 1800 };
-/// Clients wait for at most a third of the time they have left; a little less, so that their clock agrees.
+/// Clients wait for at most a third of the time they have left; slightly less allows for clock differences.
 constexpr double maxWaitShare { 0.3 };
-/// No client waits for longer.
+/// No client waits for longer than this.
 constexpr seconds maxClientWait { 60 };
-/// Between two looks for servers that have fallen silent.
+/// Interval between checks for servers that have fallen silent.
 constexpr milliseconds stallCheckInterval { 200 };
-/// A try that can't last this long is not begun: connecting alone takes a few milliseconds.
+/// An attempt with less time left is not started: connecting alone takes a few milliseconds.
 constexpr milliseconds minAttemptTime { 15 };
 
 bool isNotRun(AttemptOutcome outcome)
@@ -36,7 +36,7 @@
 
 bool isServerSuspect(AttemptOutcome outcome)
 {
-    // One that stalled became suspect as the request was taken back.
+    // A stalled server already became suspect when the attempt was cancelled.
     return outcome == AttemptOutcome::NotSent || outcome == AttemptOutcome::Lost || outcome == AttemptOutcome::TimedOut || outcome == AttemptOutcome::ServerError;
 }
 
@@ -95,7 +95,7 @@
 
 Effects Dispatcher::apply(TimePoint now, const Event& event)
 {
-    // Comes with every event of every stream, and gives room to nobody.
+    // Handled separately: it occurs with every event of every stream and frees no capacity.
     if (auto* progressed = std::get_if<StreamProgressed>(&event)) {
         onStreamProgressed(now, progressed->call);
         return {};
@@ -140,7 +140,7 @@
         refuse(now, event.call, call, RefusalReason::NoServer, clientRetryTime(call, now), effects);
         return;
     }
-    // What waits already is older or more urgent, unless this one is more urgent than all of it.
+    // Queued before the first less urgent request; of equally urgent requests the older ones come first.
     auto isMoreUrgent = [&](CallId id) { return m_calls[id].request.priority > event.request.priority; };
     m_queue.insert(std::find_if(m_queue.begin(), m_queue.end(), isMoreUrgent), event.call);
 }
@@ -159,7 +159,7 @@
 
 LoadBalancer::ServerFilter Dispatcher::filterFor(const Call& call)
 {
-    // A request may run on so many servers and no more; those that it ran on may get it again.
+    // Once a request has run on the permitted number of servers, only those may get it again.
     if (call.ranOn.size() >= std::max(call.request.route->maximumServers, 1U))
         return { call.service, {}, call.ranOn };
     return { call.service, call.triedServers, std::nullopt };
@@ -189,7 +189,8 @@
 {
     extendWaitForFormingGroups(now);
     std::vector<CallId> stillQueued;
-    // Where one that may go anywhere finds no room, nobody does: with hundreds of servers each search is dear.
+    // If a request that may go to any server finds no capacity, no other request of the service does: with hundreds of
+    // servers each search is expensive.
     std::set<ServiceName> fullServices;
     for (auto id : m_queue) {
         auto& call = m_calls[id];
@@ -210,7 +211,7 @@
     m_queue = std::move(stillQueued);
 }
 
-/// By the limits that they name and the rests that they ask for, no server may get the request while it waits: it is refused at
+/// True if, because of limits and back-offs, no server may get the request while it waits, so that it is refused at
 /// once.
 bool Dispatcher::isThrottledTooLong(const Call& call, TimePoint now) const
 {
@@ -228,10 +229,10 @@
     return throttling->isBackingOff ? RefusalReason::BackingOff : RefusalReason::Limited;
 }
 
-/// While a whole service forms anew, all its room is about to be free at once. Turned away, a client would come back when
-/// the rush is on; kept for the moment that it takes, it is served first. It stays so long when the first group is back,
-/// too: else whatever has waited longer than usual and finds the first server full is refused in the same moment, while
-/// the other servers come free.
+/// Extends the wait of requests whose service is re-forming as a whole. All its capacity is about to become free at
+/// once: a client refused now would return in the middle of the rush, while a queued request is served first. The
+/// extended wait stays in force when the first group is back. Otherwise all requests that have waited longer than usual
+/// and find the first server full would be refused at that moment, while the other servers become free.
 void Dispatcher::extendWaitForFormingGroups(TimePoint now)
 {
     std::map<ServiceName, bool> isForming;
@@ -247,9 +248,9 @@
     }
 }
 
-/// Failure: the machine beside one engine of many stands still. The streams there stand until their clients leave, new requests
-/// are sent there as its places come free, and it works for nobody when it wakes. Taken back in time, streams go on
-/// elsewhere, and their clients stay.
+/// Failure: the machine of one engine among many stalls. The streams there hang until their clients disconnect, new
+/// requests are sent there as its slots become free, and it works for clients that have left when it resumes. If the
+/// attempts are cancelled in time, the streams continue on other servers and their clients stay.
 void Dispatcher::cancelStalledAttempts(TimePoint now, Effects& effects)
 {
     if (!m_nextStallCheckAt || now < *m_nextStallCheckAt)
@@ -267,8 +268,9 @@
     }
 }
 
-/// True for a stream that another server can take, whose own says nothing while others go on. A request that has not begun may
-/// wait its turn there; it counts once its server is suspect by another stream, here or at another entry.
+/// True for a stream whose server is silent while others make progress, if another server can take it. A request whose
+/// response has not started may be queued there; it counts only once its server is suspect because of another stream,
+/// at this or another entry.
 bool Dispatcher::isStalled(const Call& call, TimePoint now) const
 {
     auto silenceThreshold = now - m_options.stallTimeout;
@@ -339,8 +341,8 @@
         failCall(event.call, call, event.outcome, now, effects);
         return;
     }
-    // Its servers may be back in a moment. It goes before what has not begun: somebody has waited for it already. What
-    // has not run waits no longer than one that has just come.
+    // The servers may recover within moments. The request goes before those that have not started, because its client
+    // is already waiting. A request that has not run waits no longer than one that has just arrived.
     queueForRetry(event.call, call, now, call.verdict == Verdict::NotRun ? call.queueDeadline : now + m_options.recoveryTimeout);
 }
 
@@ -352,8 +354,9 @@
     m_queue.insert(m_queue.begin(), id);
 }
 
-/// Failure: groups form after a loss of power and nobody has said so yet. A request spends its tries at one rank after the
-/// other within milliseconds and is refused; most clients return once only, and the service is back half a second later.
+/// Failure: after a power loss groups are forming, and no agent has reported it yet. A request uses up its attempts on
+/// one rank after the other within milliseconds and is refused; most clients retry only once, and the service is back
+/// half a second later.
 bool Dispatcher::mayWaitForGroups(const Call& call, AttemptOutcome outcome, TimePoint now) const
 {
     bool isRejected = outcome == AttemptOutcome::NotRun && call.verdict == Verdict::NotRun && call.rankRejections >= m_options.maxRankRejections;
@@ -375,7 +378,8 @@
     bool isSafe = call.request.route->isIdempotent || call.verdict == Verdict::NotRun;
     if (!isSafe || outcome == AttemptOutcome::TimedOut || call.attempts >= m_options.maxAttempts)
         return false;
-    // A failure of the server's own mostly comes of the request: another server is asked once, the same ones not again.
+    // A server error is mostly caused by the request itself: another server is tried once, the same ones are not tried
+    // again.
     if (outcome == AttemptOutcome::ServerError && call.ranOn.size() >= call.request.route->maximumServers)
         return false;
     return now + minAttemptTime < call.request.deadline;
@@ -404,14 +408,14 @@
 {
     auto left = std::max(deadline - now, Clock::duration(0));
     auto maxWait = std::chrono::duration_cast<Clock::duration>(maxWaitShare * left);
-    // Spread, so that the clients of a whole outage don't return in one moment.
+    // Jitter keeps the clients of a whole outage from returning at the same moment.
     boost::random::uniform_real_distribution<double> spread(0.8, 1.0);
     auto wait = std::min<Clock::duration>(outageRetryDelay, maxWait);
     return now + std::chrono::duration_cast<Clock::duration>(spread(generator) * wait);
 }
 
-/// Clients come back one after the other as the limits have room for them; one whose turn is later than it waits for
-/// comes back towards the end of that time.
+/// Schedules the retries of clients one after the other at the rate that the limits allow. A client whose turn would
+/// come after its maximum wait retries towards the end of that wait.
 TimePoint Dispatcher::retryTimeWithinLimits(const Call& call, double rate, TimePoint now)
 {
     auto left = std::max(call.request.deadline - now, Clock::duration(0));
@@ -426,8 +430,9 @@
     return at;
 }
 
-/// The true time, also where clients wait for less: until then they would be turned away again. Those that come during a long
-/// rest return over as much longer a time, so that what has gathered does not arrive in one moment.
+/// Returns a time after the end of the back-off even if clients wait for less: a retry before that would be refused
+/// again. The retries of clients refused during a long back-off are spread over a proportionally longer period, so that
+/// they don't all arrive at once.
 TimePoint Dispatcher::retryTimeAfterBackOff(const Call& call, TimePoint backOffEndsAt, TimePoint now)
 {
     auto maxWaitEndsAt = now + std::chrono::duration_cast<Clock::duration>(maxWaitShare * std::max(call.request.deadline - now, Clock::duration(0)));
@@ -469,7 +474,7 @@
         bool isNewFilter = filter.allowed || services.insert(call.service).second;
         if (auto throttling = isNewFilter ? m_loadBalancer.throttling(filter, m_lastEventAt) : std::nullopt)
             next = std::min(next.value_or(throttling->nextSendAt), throttling->nextSendAt);
-        // One whose pause is over and that found no room waits for an event.
+        // A request whose retry delay is over and that found no capacity waits for another event.
         auto due = call.retryAt > m_lastEventAt ? std::min(call.retryAt, call.queueDeadline) : call.queueDeadline;
         if (!next || due < *next)
             next = due;
--- a/src/gateway/dispatcher.h
+++ b/src/gateway/dispatcher.h
@@ -17,12 +17,12 @@
 
 namespace swiftloft::gateway {
 
-/// Names one client request inside an entry.
+/// Identifies a client request within an entry.
 using CallId = Strong<struct CallIdTag, std::uint64_t>;
 
-/// What the dispatcher needs to know of a request.
+/// The properties of a request that the dispatcher uses.
 struct CallRequest {
-    /// Keeps `route` alive: a request is served by the configuration that it arrived under.
+    /// Keeps `route` alive: a request is served under the configuration that was in force when it arrived.
     std::shared_ptr<const Configuration> configuration;
     const Route* route { nullptr };
     unsigned priority { 0 };
@@ -33,43 +33,44 @@
     Tokens outputTokens;
 };
 
-/// How a try at a backend server ended.
+/// Outcome of an attempt to run a request on a backend server.
 enum class AttemptOutcome {
-    /// The whole answer has gone to the client.
+    /// The whole response has been sent to the client.
     Answered,
-    /// Nothing was written.
+    /// Nothing was written to the server.
     NotSent,
-    /// The server promises that it did not run the request.
+    /// The server guarantees that it did not run the request.
     NotRun,
-    /// It is another server than expected that answered, and it did not run the request.
+    /// A server other than the expected one responded, and it did not run the request.
     Misdirected,
-    /// Written, and no whole answer came: it may have run.
+    /// The request was written and no complete response arrived; it may have run.
     Lost,
-    /// The server answered with a failure of its own.
+    /// The server responded with an error of its own.
     ServerError,
-    /// The server was silent until the deadline.
+    /// The server did not respond before the deadline.
     TimedOut,
-    /// The request was taken back: its server had fallen silent while others went on. It may have run.
+    /// The attempt was cancelled because its server fell silent while other servers made progress; the request may have
+    /// run.
     Stalled,
 };
 
 std::string_view toString(AttemptOutcome outcome);
 
-/// Why the entry answers a request itself.
+/// Why the entry responds to a request itself.
 enum class RefusalReason {
-    /// No room in time: come back later.
+    /// No server has capacity in time; the client should retry later.
     Overloaded,
-    /// By the limits that its servers name there is no room in time: come back later.
+    /// The limits that the servers advertise leave no capacity in time; the client should retry later.
     Limited,
-    /// All its servers have asked for rests that are not over in time: come back later.
+    /// All servers have requested back-offs that do not end in time; the client should retry later.
     BackingOff,
-    /// The service has no server that may be used.
+    /// The service has no usable server.
     NoServer,
-    /// Not run, and no further try is allowed.
+    /// The request did not run, and no further attempt is allowed.
     AttemptsExhausted,
-    /// It may have run; what became of it is not known.
+    /// The request may have run, and its result is unknown.
     Lost,
-    /// The deadline has passed; it may have run.
+    /// The deadline has passed; the request may have run.
     TimedOut,
 };
 
@@ -85,31 +86,31 @@
     CallId call;
     AttemptOutcome outcome { AttemptOutcome::Answered };
 };
-/// The first byte of an answer has come.
+/// The first byte of a response has arrived.
 struct ResponseStarted {
     CallId call;
 };
-/// More of a stream has come from its server.
+/// More data of a stream has arrived from its server.
 struct StreamProgressed {
     CallId call;
 };
-/// The call is over: its client has been answered or has left.
+/// The call has ended: its client has received a response or has disconnected.
 struct CallClosed {
     CallId call;
 };
-/// An answer has begun and says whether its server limits requests.
+/// A response has started; its head says whether the server limits requests.
 struct LimitReceived {
     ServerIncarnation server;
-    /// When the request that it answers was sent.
+    /// When the request of this response was sent.
     TimePoint sentAt;
     std::optional<AdvertisedLimit> limit;
 };
-/// A server has turned a request away and asks this entry for a rest.
+/// A server has rejected a request and requests a back-off from this entry.
 struct BackOffRequested {
     ServerIncarnation server;
     RequestedBackOff backOff;
 };
-/// A server says in an answer that it is leaving.
+/// A server reports in a response that it is leaving.
 struct LeavingReported {
     ServerIncarnation server;
 };
@@ -119,7 +120,7 @@
 struct LoadReceived {
     LoadNews news;
 };
-/// Time passed; see `Dispatcher::nextTick`.
+/// The time of `Dispatcher::nextTick` has been reached.
 struct Ticked { };
 
 using Event = std::variant<RequestArrived, AttemptEnded, ResponseStarted, StreamProgressed, CallClosed, LimitReceived, BackOffRequested, LeavingReported, SnapshotChanged, LoadReceived, Ticked>;
@@ -127,33 +128,34 @@
 struct StartAttempt {
     CallId call;
     BackendServer server;
-    /// Requests that ran there already, as far as known, for the log.
+    /// Requests already running on the server, as far as known; for the log.
     std::uint32_t running { 0 };
-    /// That the server names, for the log.
+    /// The limit that the server advertises; for the log.
     std::optional<RequestRate> limit {};
 };
-/// Answer the client now. For a stream that has begun: cut it.
+/// Respond to the client now with a refusal. A stream that has started is cut off.
 struct Refuse {
     CallId call;
     RefusalReason reason { RefusalReason::Overloaded };
     Verdict verdict { Verdict::NotRun };
-    /// When to come back; unset where coming back is of no use.
+    /// When the client should retry; unset if a retry is of no use.
     std::optional<TimePoint> retryAt;
-    /// What decided it, for the log: the service, the part of its places that is taken, and how many requests wait here.
+    /// Inputs of the decision, for the log: the service, the share of its slots in use, and the number of requests
+    /// queued here.
     ServiceName service {};
     double occupancy { 0 };
     std::size_t queued { 0 };
 };
-/// End the try that is in progress; `AttemptEnded` follows.
+/// Cancel the attempt in progress; `AttemptEnded` follows.
 struct CancelAttempt {
     CallId call;
 };
-/// Pass the failure that the server answered with on to the client.
+/// Forward the server's error response to the client.
 struct ForwardError {
     CallId call;
 };
 
-/// A server has said that it is leaving: the control thread tells other entries.
+/// A server has reported that it is leaving; the control thread informs the other entries.
 struct PublishLeaving {
     ServerIncarnation server;
 };
@@ -165,64 +167,70 @@
 
 struct DispatcherOptions {
     RetryAllowanceOptions retries;
-    /// Part of the objective for which a request may wait here for room. What waits longer is late however fast it then
-    /// runs, and keeps out one that could be in time.
+    /// Share of the latency objective that a request may spend in the queue. A request that waits longer misses its
+    /// objective however fast it then runs, and blocks one that could still meet its own.
     double queueTimeShare { 0.4 };
-    /// Where no objective is set.
+    /// Queue time for routes without an objective.
     milliseconds defaultQueueTime { 100 };
-    /// A request that a server lost, and that may run again, waits so long at most for one that can take it: a rank group
-    /// that lost a rank is whole again by then or not soon, and clients give up a stream that pauses for two seconds.
+    /// Maximum time that an idempotent request waits for another server after it has lost its own: a rank group that
+    /// lost a rank has either recovered by then or will not soon, and clients give up on a stream that pauses for two
+    /// seconds.
     milliseconds recoveryTimeout { 1500 };
-    /// Pause before a request goes again to servers that have just lost it: a group takes some 600 ms to form anew.
+    /// Delay before a request is retried on servers that have just lost it: a rank group takes about 600 ms to re-form.
     milliseconds retryDelay { 150 };
-    /// A stream without an event for this long is taken back from its server if others of the service go on: clients give
-    /// a stream up after two seconds.
+    /// A stream without an event for this long is cancelled at its server if other servers of the service make
+    /// progress: clients give up on a stream after two seconds.
     milliseconds stallTimeout { 1000 };
-    /// Ranks that may turn a request away at once; then it waits for their groups as it does for those known to form.
+    /// Number of ranks that may reject a request before it waits for their groups, as it does for groups known to be
+    /// forming.
     unsigned maxRankRejections { 2 };
-    /// Sends of one request, also where none of them ran: bounds the harm of a service that turns everything away.
+    /// Maximum attempts of one request, including those that did not run: bounds the load on a service that rejects
+    /// everything.
     unsigned maxAttempts { 4 };
 };
 
-/// When a client may return to what can't be served at all for now, such as right after a loss of power: late enough that it
-/// can be by then, within what clients wait for before `deadline`.
+/// Returns when a client should retry a service that has no working server, for example right after a power loss: late
+/// enough for the service to have recovered, and within the time that clients wait before `deadline`.
 TimePoint outageRetryTime(TimePoint now, TimePoint deadline, policy::Generator& generator);
 
-/// The traffic thread's reducer over the requests of one entry: which backend server a request goes to and when, what
-/// follows a failed try, and what is refused. Events in, effects out as data; reads no clock and does no I/O.
+/// The traffic thread's reducer over the requests of one entry: decides which backend server a request is sent to and
+/// when, what follows a failed attempt, and which requests are refused. Events go in and effects come out as data; it
+/// reads no clock and does no I/O.
 class Dispatcher {
 public:
     Dispatcher(const DispatcherOptions& options, policy::Generator generator);
 
     dispatch::Effects apply(TimePoint now, const dispatch::Event& event);
-    /// When to deliver a `Ticked`; nothing while no request waits.
+    /// When to deliver a `Ticked`; unset while no request is queued and no stream is being watched.
     std::optional<TimePoint> nextTick() const;
-    /// The servers and what is known of the work there.
+    /// The servers and their known load.
     const LoadBalancer& loadBalancer() const { return m_loadBalancer; }
     std::size_t queuedRequests() const { return m_queue.size(); }
 
 private:
     struct Call {
         CallRequest request;
-        /// Drawn among those of the route by their weights, once.
+        /// Drawn once from the route's services by their weights.
         ServiceName service;
         Verdict verdict { Verdict::NotRun };
-        /// Servers that may have run it.
+        /// Servers that may have run the request.
         std::vector<ServerIncarnation> ranOn;
-        /// Servers that it was sent to in vain.
+        /// Servers on which an attempt has failed.
         std::vector<ServerIncarnation> triedServers;
         unsigned attempts { 0 };
         unsigned rankRejections { 0 };
         std::optional<ServerIncarnation> currentServer;
         bool hasResponseStarted { false };
-        /// When it was sent to that server, or something came from there last.
+        /// Time of the last data from the current server, or of the send if none has arrived.
         TimePoint lastActivityAt;
-        /// The try in progress has been taken back, and the repeat that follows is taken from the allowance.
+        /// The attempt in progress has been cancelled, and the following retry has already been charged to the retry
+        /// allowance.
         bool isAttemptCancelled { false };
         TimePoint queueDeadline;
-        /// No try before; in the past until all servers that may run it have failed.
+        /// No attempt starts before this time; it is in the past until all servers that may run the request have
+        /// failed.
         TimePoint retryAt;
-        /// The last try ended so; unset before the first.
+        /// Outcome of the last attempt; unset before the first one ends.
         std::optional<AttemptOutcome> lastOutcome;
     };
 
@@ -238,14 +246,15 @@
     void queueForRetry(CallId id, Call& call, TimePoint now, TimePoint until);
     bool mayRetry(const Call& call, AttemptOutcome outcome, TimePoint now) const;
     void failCall(CallId id, Call& call, AttemptOutcome outcome, TimePoint now, dispatch::Effects& effects);
-    /// False when there is no room for it now.
+    /// Returns false if no server has capacity now or the retry allowance is spent.
     bool tryStartAttempt(CallId id, Call& call, TimePoint now, dispatch::Effects& effects);
     void cancelStalledAttempts(TimePoint now, dispatch::Effects& effects);
     bool isStalled(const Call& call, TimePoint now) const;
     void extendWaitForFormingGroups(TimePoint now);
     void dispatchQueued(TimePoint now, dispatch::Effects& effects);
     void refuse(TimePoint now, CallId id, const Call& call, RefusalReason reason, std::optional<TimePoint> retryAt, dispatch::Effects& effects);
-    /// Where the request may go: anywhere, or, once it has run on as many servers as it may, to these.
+    /// The servers that the request may be sent to: all of the service, or, once it has run on the permitted number of
+    /// servers, only those.
     static LoadBalancer::ServerFilter filterFor(const Call& call);
     bool isThrottledTooLong(const Call& call, TimePoint now) const;
     RefusalReason refusalReason(const Call& call, TimePoint now) const;
@@ -258,11 +267,11 @@
     LoadBalancer m_loadBalancer;
     RetryAllowance m_retries;
     std::map<CallId, Call> m_calls;
-    /// Requests without room yet, the most urgent and oldest first.
+    /// Requests that wait for a server, the most urgent and then the oldest first.
     std::vector<CallId> m_queue;
-    /// When streams are looked at next for servers that have fallen silent; unset while none runs.
+    /// When streams are next checked for servers that have fallen silent; unset while no stream runs.
     std::optional<TimePoint> m_nextStallCheckAt;
-    /// When the next client that is refused because of limits is to come back, by service.
+    /// Retry time for the next client that is refused because of limits, by service.
     std::map<ServiceName, TimePoint> m_nextClientRetryAt;
     /// Time of the last event.
     TimePoint m_lastEventAt;
--- a/src/gateway/load-balancer.cc
+++ b/src/gateway/load-balancer.cc
@@ -11,25 +11,25 @@
 
 namespace {
 
-/// A server that failed of late is taken only when all others have this much more to do.
+/// A server that failed recently is selected only if all others have this much more load.
 constexpr double suspectCost = 1e6;
-/// A slow rank comes behind all others with room, and before those that failed. Each request there adds its slow share to
-/// every step of the group: the streams of all ranks would pause for longer than their callers bear.
+/// Puts a slow rank behind all others with capacity, and before servers that failed. Each request on it adds its slow
+/// share to every step of the group, so the streams of all ranks would pause for longer than clients accept.
 constexpr double slowCost = 5e5;
-/// Servers of other data centres come behind all of the own one that have room, where it is not told what runs there: only at
-/// the near ones is it known who has room, and full servers turn requests away.
+/// Without load reports, servers of other data centres rank behind all local servers that have capacity: only the
+/// capacity of the local ones is known, and full servers reject requests.
 constexpr double remoteCost = 1e5;
-/// Where the average of another data centre is told, its servers count as having that, and half a request more: what is
-/// known of single servers is worth that much. Without a word of each other's load, clients of the data centre that has the
-/// most of them for each server are served late while other data centres have room.
+/// If another data centre reports its average load, each of its servers counts as having that load plus half a request,
+/// because the average is less precise than the known load of single servers. Without such reports, the clients of the
+/// data centre with the most clients per server are served late while other data centres have capacity.
 constexpr double remoteLoadMargin = 0.5;
-/// Prompt tokens that weigh as much as one more request that writes, where the engine's traits say nothing.
+/// Number of prompt tokens equivalent to one more running request, if the engine's traits don't say.
 constexpr double defaultTokensPerRequest = 100;
-/// A running request adds to each step until it ends; a prompt is read once. So the step times of a request count for
-/// about this many steps when both are weighed as time that later arrivals wait.
+/// A running request lengthens each step until it ends; a prompt is processed once. Weighed as time that later arrivals
+/// wait, the step times of a request therefore count for about this many steps.
 constexpr double effectiveSteps = 30;
 
-/// What was said last of each closed or slow rank, by its agent or by another entry.
+/// The latest report of each closed or slow rank, from its agent or from another entry.
 std::map<Endpoint, Snapshot::DegradedReport> latestDegradedReports(const Snapshot& snapshot)
 {
     std::map<Endpoint, Snapshot::DegradedReport> degraded;
@@ -222,9 +222,9 @@
     return server.suspectUntil > now ? cost + suspectCost : cost;
 }
 
-/// Failure: right after a loss of power the engines are listed before their groups have formed, and their agents have not
-/// spoken yet. Each request was turned away by four engines within some milliseconds, and refused; clients return only
-/// once. Left out, they count as forming, and requests wait for them.
+/// Failure: right after a power loss engines are listed before their groups have formed and before their agents have
+/// reported. Each request was rejected by four engines within some milliseconds and then refused, and clients retry
+/// only once. Skipping these ranks makes them count as forming, and requests wait for them.
 bool LoadBalancer::onRejected(TimePoint now, const ServerIncarnation& incarnation)
 {
     auto it = m_servers.find(incarnation);
@@ -309,8 +309,8 @@
     return counts ? &*server.degradedReport : nullptr;
 }
 
-/// Failure: one engine slows to a third of its speed, and every step of its group takes as long as its own. What it is given
-/// on top makes the steps longer still.
+/// Failure: one engine slows to a third of its speed, and every step of its group takes as long as its own. More load
+/// on it makes the steps longer still.
 bool LoadBalancer::isSlow(const Server& server, TimePoint now)
 {
     auto* report = currentDegradedReport(server, now);
@@ -324,7 +324,7 @@
 
 bool LoadBalancer::mayReceiveRequests(const Server& server, TimePoint now) const
 {
-    // Failure: a rank is lost, and its whole group turns requests away until it has formed again.
+    // Failure: a rank is lost, and its whole group rejects requests until it has re-formed.
     auto* report = currentDegradedReport(server, now);
     bool isClosed = report && !report->isOpen;
     bool isTurningAway = server.rejectingUntil > now;
@@ -358,7 +358,7 @@
     const Server* best = nullptr;
     double bestCost = std::numeric_limits<double>::max();
     auto isExcluded = [&](const ServerIncarnation& incarnation) { return std::find(filter.excluded.begin(), filter.excluded.end(), incarnation) != filter.excluded.end(); };
-    // Equal loads are told apart at random: all entries that saw the same idle server would otherwise meet there.
+    // Random tie-break between equal loads: otherwise all entries that see the same idle server would select it.
     boost::random::uniform_real_distribution<double> tieBreak(0, 1);
     for (auto& [incarnation, server] : m_servers) {
         if (!isCandidate(server, filter) || !mayReceiveRequests(server, now) || isExcluded(incarnation))
@@ -424,7 +424,7 @@
     };
     std::map<ServiceName, Sum> sums;
     for (auto& [incarnation, server] : m_servers) {
-        // One that names a limit or asks for rest is idle for another reason than having room.
+        // A server that advertises a limit or requests a back-off is idle for a reason other than free capacity.
         bool isAvailable = mayReceiveRequests(server, now) && !m_limits.limitOf(server.hash) && !isBackingOff(server, now);
         if (server.isRemote || !isAvailable)
             continue;
--- a/src/gateway/model.h
+++ b/src/gateway/model.h
@@ -10,60 +10,62 @@
 #include <string>
 #include <vector>
 
-/// The direct request path: an entry passes requests straight to backend servers over pooled HTTP/1.1 connections.
+/// The direct request path: an entry forwards requests to backend servers over pooled HTTP/1.1 connections.
 ///
-/// This header holds the types that its parts share. What arrives on a wire is decoded into them by a `Protocol`
-/// (protocol.h), so nothing here depends on how a platform names its headers and documents.
+/// This header holds the types shared by the parts of the path. A `Protocol` (protocol.h) decodes wire data into them,
+/// so nothing here depends on how a platform names its headers and documents.
 namespace swiftloft::gateway {
 
 using Endpoint = boost::asio::ip::tcp::endpoint;
 
-/// A service of a route and how much of its traffic goes there, relative to the other weights of the route.
+/// A service of a route and the share of the traffic that it gets, relative to the other weights of the route.
 struct WeightedService {
     ServiceName service;
     double weight { 1 };
 };
 
-/// Requests of one host whose path begins with `prefix`, and how they are served.
+/// Matches the requests of one host whose path begins with `prefix`, and says how they are served.
 struct Route {
     std::string name;
     std::string host;
     /// Begins and ends with a slash.
     std::string prefix;
-    /// The answer is a series of events that are passed on as they come.
+    /// True if the response is a stream of events that are forwarded as they arrive.
     bool isStream { false };
-    /// May run more than once: a safe request, or a stream that can be resumed behind its last event.
+    /// True if the request may run more than once: a safe request, or a stream that can be resumed after its last
+    /// event.
     bool isIdempotent { false };
-    /// Needs no key.
+    /// True if no API key is required.
     bool isPublic { false };
-    /// Longest time a client is kept waiting for the end of its answer.
+    /// Maximum time until the end of the response.
     milliseconds timeout { 0 };
-    /// Time within which an answer (of a stream, its first event) is of full use.
+    /// Latency objective of the response (of the first event, for a stream); a later response does not count as fully
+    /// useful.
     milliseconds objective { 0 };
-    /// Longest pause between events with which a stream is of full use; zero where it does not matter.
+    /// Maximum gap between events of a fully useful stream; zero if the gap does not matter.
     milliseconds gapObjective { 0 };
     /// 0 is the most urgent.
     unsigned priority { 0 };
-    /// Backend servers that one request may run on.
+    /// Number of backend servers that one request may run on.
     unsigned maximumServers { 1 };
     std::vector<WeightedService> services;
 };
 
-/// How the engines of a service work, as published. All times of one engine at normal speed.
+/// Published performance traits of a service's engines. Times are those of one engine at normal speed.
 struct EngineTraits {
     std::uint32_t slots { 0 };
-    /// Time of one token step and what each running request adds to it.
+    /// Time of one token step, and the time that each running request adds to it.
     double stepMs { 0 };
     double stepMsPerRequest { 0 };
-    /// Prompt tokens read in a second.
+    /// Prompt tokens processed per second.
     double promptTokensPerSecond { 0 };
-    /// Steps between two looks at the queue; a stream sends an event after as many.
+    /// Number of steps between two checks of the queue; a stream sends one event per this many steps.
     std::uint32_t stepsPerPass { 1 };
-    /// Sizes of the expert map; zero layers for an engine without one.
+    /// Dimensions of the expert map; `layers` is zero for an engine without an expert map.
     std::uint32_t layers { 0 };
     std::uint32_t experts { 0 };
     std::uint32_t slotsPerRank { 0 };
-    /// Most experts of one layer that a rank takes in with one change of map.
+    /// Maximum number of experts of one layer that a rank can load in one map change.
     std::uint32_t spareSlots { 0 };
     double expertMegabytes { 0 };
     double linkMbps { 0 };
@@ -80,11 +82,11 @@
 struct OrganisationKeys {
     OrganisationName name;
     std::vector<std::string> keys;
-    /// Takes the place of the route's priority.
+    /// Overrides the route's priority.
     std::optional<unsigned> priority;
 };
 
-/// What a client may send and how long it may take.
+/// Size and time limits for client requests.
 struct ClientLimits {
     std::uint32_t maximumHeaderBytes { 16384 };
     std::uint64_t maximumBodyBytes { 4194304 };
@@ -94,17 +96,19 @@
 
 enum class ServerState {
     Ready,
-    /// Told to go: finishes what it has and gets nothing new.
+    /// Finishes its running requests and receives no new ones.
     Draining,
 };
 
-/// Unix time in milliseconds at which a backend server's process started, as it says itself; 0 where it doesn't say. Only
-/// compared: of two starts under one id the later is the one that lives.
+/// Start time of a backend server's process as reported by the server: Unix time in milliseconds, 0 if not reported.
+/// Used only for comparison: of two processes with the same id, the one with the later start time is the live one.
 using ServerStartTime = Strong<struct ServerStartTimeTag, std::uint64_t>;
 
-/// One life of a backend server. Failure: a server starts again under its id and holds nothing of before; work, failures and
-/// farewells of the life that ended would be put down to it. Whatever is believed of a server is kept by its life, so all
-/// of it ends with the life.
+/// One incarnation of a backend server: its id together with the start time of its process. State about a server is
+/// keyed by incarnation, so it is dropped when the process ends.
+///
+/// Failure: a server restarts under the same id and has lost its state; without the start time, the work, failures and
+/// leaving notices of the ended process would be attributed to the new one.
 struct ServerIncarnation {
     BackendServerId id;
     ServerStartTime startedAt;
@@ -112,7 +116,7 @@
     friend auto operator<=>(const ServerIncarnation&, const ServerIncarnation&) = default;
 };
 
-/// A backend server as the platform's list names it.
+/// A backend server as listed by the platform.
 struct BackendServer {
     BackendServerId id;
     ServiceName service;
@@ -127,55 +131,56 @@
     friend bool operator==(const BackendServer&, const BackendServer&) = default;
 };
 
-/// What an entry needs to know of a client's request besides its bytes.
+/// The parts of a client's request that an entry evaluates.
 struct RequestHead {
-    /// As the client sent it; names the request in logs and at the backend server.
+    /// The client's request id; used in logs and sent to the backend server.
     std::string id;
     std::string host;
-    /// The target up to the query.
+    /// The request target without the query.
     std::string path;
     std::string key;
-    /// When the client stops waiting; unset when it did not say.
+    /// The client's deadline; unset if the client sent none.
     std::optional<TimePoint> clientDeadline;
     Tokens promptTokens;
     Tokens outputTokens;
-    /// Last event that the client has, when it resumes a stream.
+    /// The last event that the client received, if it resumes a stream.
     std::optional<std::uint64_t> lastEvent;
 };
 
-/// Requests a second.
+/// Requests per second.
 using RequestRate = Strong<struct RequestRateTag, double>;
 
-/// A limit that a backend server in need names in its answers.
+/// A request rate limit that an overloaded backend server advertises in its responses.
 struct AdvertisedLimit {
-    /// What it takes from all entries together; unset where the server's words can't be read.
+    /// The rate that the server accepts from all entries together; unset if the field can't be parsed.
     std::optional<RequestRate> rate;
 
     friend bool operator==(const AdvertisedLimit&, const AdvertisedLimit&) = default;
 };
 
-/// A rest that a backend server asks the entry for as it turns a request away: it takes nothing from it until then.
+/// A back-off that a backend server requests from this entry when it rejects a request: the server accepts no requests
+/// from the entry until then.
 struct RequestedBackOff {
-    /// Unset where the server's words can't be read.
+    /// Unset if the field can't be parsed.
     std::optional<TimePoint> until;
 
     friend bool operator==(const RequestedBackOff&, const RequestedBackOff&) = default;
 };
 
-/// What the head of a backend server's answer says.
+/// The parsed head of a backend server's response.
 struct ResponseHead {
     unsigned status { 0 };
-    /// Unset where the server names no limit.
+    /// Unset if the server advertises no limit.
     std::optional<AdvertisedLimit> limit;
-    /// Unset where the server asks for none.
+    /// Unset if the server requests no back-off.
     std::optional<RequestedBackOff> backOff;
-    /// Id of the request that this answers; empty when the answer names none.
+    /// Id of the request that this response belongs to; empty if the response does not say.
     std::string requestId;
-    /// The server promises that it did not run the request and never will.
+    /// The server guarantees that it did not run the request and never will.
     bool isNotRun { false };
-    /// The server says that it is leaving: it finishes what it has and is to get nothing new.
+    /// The server is leaving: it finishes its running requests and must not receive new ones.
     bool isLeaving { false };
-    /// Signed by the server as its own work.
+    /// The response carries the server's stamp as proof of origin.
     bool isSigned { false };
 };
 
--- a/src/gateway/peer-loads.cc
+++ b/src/gateway/peer-loads.cc
@@ -8,7 +8,7 @@
 {
     expireSilentPeers(now);
     auto& peer = m_peers[update.incarnation];
-    // Failure: datagrams overtake each other; an older account would bring back work that has ended.
+    // Failure: datagrams arrive out of order; an older report would bring back load that has ended.
     if (update.sequence <= peer.sequence)
         return;
     subtractLoads(peer);
--- a/src/gateway/peer-loads.h
+++ b/src/gateway/peer-loads.h
@@ -6,23 +6,23 @@
 
 namespace swiftloft::gateway {
 
-/// Work at a server.
+/// Load on a server.
 struct Load {
     std::uint32_t running { 0 };
     std::int64_t promptTokens { 0 };
 };
 
-/// What other entries have at the servers, by their word, summed by server as it is told: the sum over all entries was
-/// needed for every server at every request. Pure: the time comes with each call.
+/// Loads that other entries report for the servers. The sums per server are updated with each report, because they are
+/// needed for every server at every request. Pure: the time is passed in with each call.
 class PeerLoads {
 public:
-    /// Loads told by another entry count for this long. They are told every `toldEvery` at least; an entry that died
-    /// has no requests any more.
+    /// Loads reported by another entry are valid for this long. They are reported at least every `reportInterval`; an
+    /// entry that died has no requests any more.
     static constexpr milliseconds reportLifetime { 600 };
     static constexpr milliseconds reportInterval { 150 };
 
     void onUpdate(TimePoint now, const LoadNews& update);
-    /// Of all entries heard of within `countFor`.
+    /// Sum over all entries whose last report is not older than `reportLifetime`.
     Load at(TimePoint now, ServerHash server);
 
 private:
@@ -37,7 +37,7 @@
 
     std::map<Incarnation, Peer> m_peers;
     std::map<ServerHash, Load> m_sums;
-    /// Nobody falls silent before this.
+    /// No report expires before this time.
     TimePoint m_nextExpiryAt { TimePoint::max() };
 };
 
--- a/src/gateway/rank-registry.cc
+++ b/src/gateway/rank-registry.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Nothing is decided by a difference as small as this.
+/// A relative difference in pace that affects no decision.
 constexpr double paceMargin { 0.1 };
 
 bool isPaceAlike(double one, double other)
@@ -20,7 +20,7 @@
 RankRegistry::Change RankRegistry::onStatus(TimePoint now, const RankNews& status)
 {
     auto it = m_ranks.find(status.address);
-    // Failure: a late datagram about the life before would close or open a rank that has started again since.
+    // Failure: a late datagram about the previous incarnation would close or open a rank that has restarted since.
     bool isOldIncarnation = it != m_ranks.end() && status.startedAt < it->second.status.startedAt;
     if (isOldIncarnation)
         return {};
@@ -32,16 +32,16 @@
         group.epoch = status.epoch;
         group.firstSeenAt = now;
     }
-    // Every other rank of the group has opened as well.
+    // All other ranks of the group have opened as well.
     bool hasGroupOpened = status.isOpen && group.openEpoch < status.epoch;
     if (hasGroupOpened)
         group.openEpoch = status.epoch;
     return { isChange || hasGroupOpened, isNewEpoch };
 }
 
-/// Failure: all ranks of a group open in one moment, and their agents say so over the next tenth of a second. Until then
-/// the first one heard of is the only server with room: after a loss of power all entries send it all that waits, and most of
-/// that is turned away. Where one rank is open in a later epoch, all of them are.
+/// Failure: all ranks of a group open at the same moment, and their agents report it over the next tenth of a second.
+/// Until then the first reported rank is the only server with capacity: after a power loss all entries send it all
+/// queued requests, and most are rejected. If one rank is open in a later epoch, all of them are.
 bool RankRegistry::isClosed(const RankNews& status) const
 {
     return !status.isOpen && status.epoch >= m_groups.at(status.group).openEpoch;
@@ -53,7 +53,7 @@
     auto isSame = [](auto& one, auto& other) { return one.address == other.address && one.isOpen == other.isOpen && isPaceAlike(one.pace, other.pace); };
     bool isChange = !std::equal(previous.begin(), previous.end(), degraded.begin(), degraded.end(), isSame);
     previous.clear();
-    // The age is that of the agent's word, so a teller that is cut off from the agents does not keep a rank degraded.
+    // The age is that of the agent's status, so a peer that is cut off from the agents does not keep a rank degraded.
     for (auto& it : degraded)
         previous.push_back({ it.address, now - it.age, it.isOpen, it.pace });
     return isChange;
--- a/src/gateway/rank-registry.h
+++ b/src/gateway/rank-registry.h
@@ -9,46 +9,49 @@
 
 namespace swiftloft::gateway {
 
-/// What one entry knows of the ranks of all groups: by the word of their agents, if they tell this entry, or by the word of
-/// entries that they tell. Decides what agents are told of their groups. Pure: the time comes with each call.
+/// The ranks of all groups as known to one entry: from their agents, if they report to this entry, or from the entries
+/// that they report to. Decides which group briefs are sent to agents. Pure: the time is passed in with each call.
 ///
-/// Agents tell two entries a data centre, and these pass on only which ranks are closed or slow: were every agent to tell
-/// every entry, that alone would be more than an agent's link carries in a fleet of hundreds.
+/// Agents report to two entries per data centre, and these forward only which ranks are closed or slow: if every agent
+/// reported to every entry, that traffic alone would exceed an agent's link in a fleet of hundreds.
 class RankRegistry {
 public:
-    /// News of a rank older than this counts for nothing: its agent is gone or cut off.
+    /// The status of a rank older than this is ignored: its agent is gone or cut off.
     static constexpr milliseconds reportLifetime { 3000 };
-    /// Word that a rank is closed or slow is passed on while it is no older than this; agents repeat it every 400 ms.
+    /// That a rank is closed or slow is forwarded while the agent's status is no older than this; agents repeat it
+    /// every 400 ms.
     static constexpr milliseconds degradedPropagationTime { 1200 };
-    /// An agent that says that it knows its group is told of it again after this long, lest a change was lost.
+    /// An agent that reports that it knows its group gets the brief again after this time, in case a change was lost.
     static constexpr milliseconds briefRepeatInterval { 10'000 };
 
-    /// The entries of an agent's own data centre have told it of a new group within this time, if they live.
+    /// The entries of an agent's own data centre, if they are alive, have sent it the brief of a new group within this
+    /// time.
     static constexpr milliseconds localBriefTimeout { 1000 };
 
     struct Change {
-        /// The rank has opened, closed, slowed or recovered, or has come up in another group or epoch.
+        /// The rank has opened, closed, slowed down or recovered, or has come up in another group or epoch.
         bool isChange { false };
-        /// It has come up in another group or epoch.
+        /// The rank has come up in another group or epoch.
         bool isNewEpoch { false };
     };
-    /// News of a life that has ended since changes nothing.
+    /// Processes an agent's status. The status of an older incarnation of the rank is ignored.
     Change onStatus(TimePoint now, const RankNews& status);
 
-    /// Takes what another entry says of closed and slow ranks in place of what it said before. True when that differs.
+    /// Replaces the closed and slow ranks that another entry reported before. Returns true if the report differs from
+    /// the previous one.
     bool onPeerDegradedRanks(TimePoint now, const Endpoint& peer, std::span<const DegradedRank> degraded);
 
-    /// Closed and slow ranks by the word of their agents, to be passed on.
+    /// Closed and slow ranks as reported by their agents, to be forwarded to other entries.
     std::vector<DegradedRank> degradedRanks(TimePoint now) const;
-    /// All ranks whose agents have told this entry of them; open are those of a group that is.
+    /// All ranks whose agents report to this entry. `isOpen` is set for the ranks of an open group.
     std::vector<Snapshot::Rank> ranks() const;
-    /// Closed and slow ranks by the word of other entries.
+    /// Closed and slow ranks as reported by other entries.
     std::vector<Snapshot::DegradedReport> peerDegradedRanks(TimePoint now) const;
 
-    /// What to tell the agent of the engine at `address`: its group when that has changed or the agent does not know it, else
-    /// a brief without ranks, by which the agent learns whom to tell of itself. Where `isNear` is false, the group is told
-    /// only to an agent that has lacked it for `nearToldWithin`: when all ranks come up together, entries of all data centres
-    /// would fill each agent's link with the same addresses.
+    /// Returns the brief for the agent of the engine at `address`: its group if that has changed or the agent does not
+    /// know it, otherwise a brief without ranks, which shows the agent which entry to report to. If `isLocal` is false,
+    /// the group is sent only to an agent that has lacked it for `localBriefTimeout`: when all ranks come up together,
+    /// entries of all data centres would otherwise fill each agent's link with the same addresses.
     GroupBrief nextBrief(TimePoint now, const Endpoint& address, const EngineTraits& traits, bool isLocal);
 
 private:
@@ -59,21 +62,21 @@
         TimePoint repeatAt;
     };
     struct Group {
-        /// Newest epoch that was heard of, and when first.
+        /// The newest epoch reported, and when it was first reported.
         GroupEpoch epoch;
         TimePoint firstSeenAt;
-        /// Newest epoch in which a rank was open.
+        /// The newest epoch in which a rank was open.
         GroupEpoch openEpoch;
     };
 
-    /// True when the rank does not take requests, by all that is known of its group.
+    /// True if the rank does not accept requests, given everything known about its group.
     bool isClosed(const RankNews& status) const;
     GroupBrief briefOf(TimePoint now, const RankNews& status, const EngineTraits& traits) const;
 
     std::map<Endpoint, Snapshot::Rank> m_ranks;
     std::map<EngineGroupName, Group> m_groups;
     std::map<Endpoint, std::vector<Snapshot::DegradedReport>> m_peerDegradedRanks;
-    /// What each agent was told of its group last.
+    /// The last group brief sent to each agent.
     std::map<Endpoint, SentBrief> m_sentBriefs;
 };
 
--- a/src/gateway/retry-allowance.h
+++ b/src/gateway/retry-allowance.h
@@ -8,24 +8,24 @@
 
 namespace swiftloft::gateway {
 
-/// How many repeats all entries together may send to a service.
+/// Limits the retries that all entries together may send to a service.
 struct RetryAllowanceOptions {
-    /// Repeats for each request of a window.
+    /// Retries earned by each request within the window.
     double ratio { 0.2 };
-    /// Repeats beyond that, in a window, over all entries.
+    /// Additional retries per window, over all entries.
     double slack { 0 };
     milliseconds window { 10000 };
-    /// Part of the allowance that is used. The rest covers what entries can't see of each other: windows slide, and
-    /// requests that clients sent and no entry read don't count here.
+    /// Share of the allowance that is used. The rest covers what entries can't observe of each other: windows slide,
+    /// and requests that clients sent but no entry read are not counted.
     double margin { 0.7 };
 };
 
-/// One entry's part of the retry budget of all entries.
+/// One entry's share of the retry budget of all entries.
 ///
-/// Guards against retry storms: when a service fails, repeats of everything multiply the work just when there is least
-/// room for it. Each entry earns repeats by its own requests and takes an even part of the slack, by the number of
-/// entries that may exist rather than those it sees: in a partition each side would otherwise take the parts of the
-/// other.
+/// Guards against retry storms: when a service fails, retries of all requests multiply the load just when there is
+/// least capacity for it. Each entry earns retries by its own requests and takes an equal share of the slack, computed
+/// from the number of entries that may exist rather than of those it sees: otherwise each side of a network partition
+/// would also take the shares of the other side.
 class RetryAllowance {
 public:
     explicit RetryAllowance(const RetryAllowanceOptions& options)
@@ -33,10 +33,10 @@
     {
     }
 
-    /// Entries that may exist; never lowered.
+    /// Sets the number of entries that may exist; it never decreases.
     void raiseMaxEntries(std::size_t maxEntries) { m_maxEntries = std::max(m_maxEntries, maxEntries); }
     void onRequest(const ServiceName& service, TimePoint now);
-    /// Takes one repeat if one is left.
+    /// Takes one retry from the allowance; returns false if none is left.
     bool tryTake(const ServiceName& service, TimePoint now);
 
 private:
--- a/src/gateway/server-back-offs.h
+++ b/src/gateway/server-back-offs.h
@@ -7,27 +7,28 @@
 
 namespace swiftloft::gateway {
 
-/// The rests that backend servers ask this entry for as they turn its requests away.
+/// The back-offs that backend servers request from this entry when they reject its requests.
 ///
-/// A rest is between one server and one entry: others are not told. Each answer counts for as long as it says, so of several the
-/// one that ends last holds, whichever comes first. Rests are kept by a server's life and outlast its absence from the list.
+/// A back-off applies to one server and one entry and is not shared with other entries. Each response sets a back-off
+/// of its own length; of several, the one that ends last applies, in whatever order they arrive. Back-offs are keyed by
+/// server incarnation and stay in force while the server is missing from the list.
 ///
-/// Pure: the time comes with each call.
+/// Pure: the time is passed in with each call.
 class ServerBackOffs {
 public:
-    /// Where the server's words can't be read.
+    /// Back-off used if the requested one can't be parsed.
     static constexpr milliseconds defaultBackOff { 1000 };
-    /// Entries take a rest to last up to this part longer, and no more than the second figure, each by another share: a server
-    /// that has rested looks idle to all of them in the same moment.
+    /// Each entry extends a back-off by its own fraction of this share of its length, and by at most `maxJitter`: a
+    /// server that has backed off looks idle to all entries at the same moment.
     static constexpr double jitterShare { 0.1 };
     static constexpr milliseconds maxJitter { 500 };
 
-    /// The entry that keeps these rests; decides its share of the spread.
+    /// Sets the entry that owns these back-offs; its address determines its jitter.
     void setEntry(const Endpoint& control);
 
-    /// True when no rest of the server was known.
+    /// Returns true if no back-off of the server was in force.
     bool onRequested(TimePoint now, ServerHash server, const RequestedBackOff& backOff);
-    /// Unset when the server has asked for none, or that is over.
+    /// Unset if the server has requested no back-off, or it is over.
     std::optional<TimePoint> endOf(ServerHash server, TimePoint now) const;
     bool isEmpty() const { return m_endsAt.empty(); }
     void removeExpired(TimePoint now);
--- a/src/gateway/server-limits.cc
+++ b/src/gateway/server-limits.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// No wait is computed beyond this: the shares of tiny limits would exceed what a duration holds.
+/// Upper bound of a computed wait: the waits for tiny limits would overflow the duration.
 constexpr std::chrono::duration<double> maxWait { 3600 };
 
 Clock::duration timeToEarn(double requests, double rate)
@@ -27,7 +27,8 @@
     auto it = m_limits.find(server);
     bool isKnown = it != m_limits.end() && it->second.rate;
     if (!limit) {
-        // Answers on different connections overtake each other: only one to a request sent after the limit was heard ends it.
+        // Responses on different connections arrive out of order: a limit is ended only by the response to a request
+        // that was sent after the limit was received.
         bool isEnd = isKnown && sentAt > it->second.reportedAt;
         if (!isEnd)
             return false;
@@ -64,7 +65,7 @@
     if (isFirst) {
         state.permitsUpdatedAt = now;
         state.position = positionOf(server);
-        // Holders that all began with nothing would all send their first request in the same moment.
+        // If all holders started with no permits, they would all send their first request at the same moment.
         state.permits = std::min(static_cast<double>(state.position) / holderCount(*rate), 1.0);
     }
     updateShare(now, state);
@@ -81,7 +82,7 @@
         if (entry.state == EntryState::Serving)
             add(entry, false);
     }
-    // Failure: the fleet is split, and each side shares out the whole limit.
+    // Failure: a network partition splits the fleet, and each side distributes the whole limit.
     auto maxEntries = std::max(snapshot.maxEntries, m_members.size());
     m_visibleShare = maxEntries > 0 ? static_cast<double>(m_members.size()) / static_cast<double>(maxEntries) : 1;
     if (m_limits.empty())
@@ -105,8 +106,9 @@
     return std::clamp(minHolders + std::floor(rate.value()), 1.0, std::max<double>(1, static_cast<double>(m_members.size())));
 }
 
-/// The place of this entry in the order for `server`: behind all others where it does not serve. The first of each data centre
-/// come first, so that the clients of each find an entry that may send there.
+/// Returns the position of this entry in the order for `server`: after all others if this entry does not serve. The
+/// first entry of each data centre comes before the second of any, so that the clients of each data centre find an
+/// entry that may send.
 std::size_t ServerLimits::positionOf(ServerHash server) const
 {
     auto scoreOf = [&](const Member& member) { return membership::rendezvousScore(member.key, server.value()); };
--- a/src/gateway/server-limits.h
+++ b/src/gateway/server-limits.h
@@ -11,55 +11,58 @@
 
 struct Snapshot;
 
-/// The limits that backend servers in need name in their answers, and this entry's part in keeping them.
+/// The limits that overloaded backend servers advertise in their responses, and this entry's share of each limit.
 ///
-/// A limit binds all entries together, and no entry can ask another within a request. So a few *holders* share it evenly: the
-/// first of an order of the entries that every entry computes for itself from the server's name and the entries in sight. Each
-/// holder sends at its share and saves up one request and a second's worth; the others send nothing. The fewer requests
-/// a limit allows, the fewer holders it has, so that what all of them have saved up stays within a fixed slack.
+/// A limit applies to all entries together, and an entry can't consult the others within a request. So a few *holders*
+/// share each limit equally. Every entry computes the same order of the visible entries from the server's hash; the
+/// holders are the first entries in it. Each holder sends at the rate of its share and accumulates permits for one
+/// request plus one second's worth; the others send nothing. The fewer requests a limit allows, the fewer holders it
+/// has, so that the permits accumulated by all holders stay within a fixed slack.
 ///
-/// What a server said last is told to the other entries with its age; the newest word counts. When nothing has been heard of a
-/// limit for `askAfter`, entries send one request each in turn, which shows whether it still holds: a limit of zero would
-/// otherwise never end, nor one whose end an entry was not told.
+/// The latest limit of a server is sent to the other entries with its age; the newest report wins. If nothing has been
+/// reported about a limit for `probeDelay`, the entries send one probe request each in turn, which shows whether the
+/// limit still applies. Otherwise a limit of zero would never end, nor would a limit whose end an entry was not
+/// informed of.
 ///
-/// Pure: the time comes with each call.
+/// Pure: the time is passed in with each call.
 class ServerLimits {
 public:
-    /// The first entry in the order asks after this silence, each further one `askEvery` later.
+    /// The first entry in the order probes after this time without a report, each further entry `probeInterval` later.
     static constexpr milliseconds probeDelay { 4000 };
     static constexpr milliseconds probeInterval { 2000 };
-    /// A holder saves up its share of this time, and one request.
+    /// A holder accumulates permits for its share of this time, plus one request.
     static constexpr milliseconds burstWindow { 1000 };
-    /// Holders of a limit of less than one request a second; one more for each request a second.
+    /// Holders of a limit below one request per second; there is one more for each full request per second.
     static constexpr double minHolders { 3 };
-    /// That a limit holds, or has ended, is passed on for this long after the server said so.
+    /// A limit, or its end, is reported to other entries for this long after the server advertised it.
     static constexpr milliseconds propagationTime { 10'000 };
     static constexpr milliseconds endPropagationTime { 5000 };
-    /// That a limit still holds is news to the others after this silence.
+    /// After this time without a report, another response that confirms the limit is sent to the other entries at once.
     static constexpr milliseconds refreshInterval { 1000 };
-    /// What was heard of a server that is not listed any more is kept for this long: the list lapses while the store is away.
+    /// The limit of an unlisted server is kept for this long: the server list expires while the store is unreachable.
     static constexpr milliseconds unlistedRetention { 30'000 };
-    /// Words in one message; the latest are told first.
+    /// Maximum number of reports in one message; the latest reports are kept.
     static constexpr std::size_t maxReports { 400 };
 
-    /// Takes what an answer to a request sent at `sentAt` says. True when the limit is another than before.
+    /// Processes the limit in a response to a request sent at `sentAt`. Returns true if the limit has changed.
     bool onResponse(TimePoint now, ServerHash server, TimePoint sentAt, const std::optional<AdvertisedLimit>& limit);
-    /// Takes the word of another entry. True when the limit is another than before.
+    /// Processes the report of another entry. Returns true if the limit has changed.
     bool onPeerReport(TimePoint now, const LimitWord& report);
-    /// The servers that are listed, and the entries that share limits: this one and those in sight that serve.
+    /// Sets the listed servers and the entries that share limits: this entry and the visible entries that serve.
     void setFleet(TimePoint now, const Snapshot& snapshot);
 
-    /// Unset where the server names none.
+    /// Unset if the server advertises no limit.
     std::optional<RequestRate> limitOf(ServerHash server) const;
-    /// When this entry may send to the server next, as far as its limit goes: `now` for one without a limit.
+    /// The earliest time at which the server's limit lets this entry send; `now` for a server without a limit.
     TimePoint nextSendTime(TimePoint now, ServerHash server) const;
     void onSend(TimePoint now, ServerHash server);
-    /// What this entry may send on average over all servers of such a limit, were it spread evenly over the entries.
+    /// The rate that this entry may send on average over all servers with such a limit, if it were divided equally
+    /// between the entries.
     double evenShare(ServerHash server) const;
 
-    /// What is to be told to other entries.
+    /// Reports to be sent to other entries.
     std::vector<LimitWord> reports(TimePoint now) const;
-    /// Counts what this entry has heard from servers and others don't know yet.
+    /// Incremented for each report that this entry received from a server and that the other entries don't have yet.
     std::uint64_t localVersion() const { return m_localVersion; }
     bool isEmpty() const { return m_limits.empty(); }
 
@@ -67,15 +70,15 @@
     struct LimitState {
         /// Unset once the limit has ended.
         std::optional<RequestRate> rate;
-        /// When the server said so.
+        /// When the server advertised the limit or its end.
         TimePoint reportedAt;
-        /// When this entry last sent a request only to hear of the limit.
+        /// When this entry last sent a probe request.
         TimePoint probedAt;
-        /// Place of this entry in the order of the server.
+        /// Position of this entry in the order of the server.
         std::size_t position { 0 };
-        /// Requests a second that this entry may send; zero for one that is no holder.
+        /// Requests per second that this entry may send; zero if it is not a holder.
         double share { 0 };
-        /// Requests saved up at `countedAt`.
+        /// Permits accumulated at `permitsUpdatedAt`.
         double permits { 0 };
         TimePoint permitsUpdatedAt;
     };
@@ -85,7 +88,7 @@
         bool isSelf { false };
     };
 
-    /// Takes a word that is newer than all before. True when it says something else.
+    /// Applies a report that is newer than all before. Returns true if the limit has changed.
     bool update(TimePoint now, ServerHash server, std::optional<RequestRate> rate, TimePoint reportedAt);
     double holderCount(RequestRate rate) const;
     std::size_t positionOf(ServerHash server) const;
@@ -94,7 +97,7 @@
 
     std::map<ServerHash, LimitState> m_limits;
     std::vector<Member> m_members;
-    /// Part of the entries that may exist that is in sight.
+    /// Visible entries as a share of the entries that may exist.
     double m_visibleShare { 1 };
     std::uint64_t m_localVersion { 0 };
 };
--- a/src/gateway/snapshot.h
+++ b/src/gateway/snapshot.h
@@ -8,28 +8,28 @@
 
 namespace swiftloft::gateway {
 
-/// What the control thread tells the traffic thread: immutable, replaced as a whole.
+/// Immutable state that the control thread publishes to the traffic thread; always replaced as a whole.
 struct Snapshot {
-    /// Null until one is known.
+    /// Null until a configuration is known.
     std::shared_ptr<const Configuration> configuration;
     std::vector<BackendServer> servers;
-    /// This entry as it describes itself to others.
+    /// This entry's own member record as sent to other entries.
     EntryMember self;
     /// Other entries that are alive.
     std::vector<EntryMember> entries;
-    /// Entries that may exist, this one included; for shares of budgets.
+    /// Maximum number of entries that may exist, including this one; used to compute shares of budgets.
     std::size_t maxEntries { 1 };
-    /// Knows enough to serve.
+    /// True once the entry has the state it needs to serve requests.
     bool isReady { false };
-    /// Was told to stop.
+    /// True once the entry has been asked to stop.
     bool isLeaving { false };
-    /// What agents last said of the ranks they run beside, and when.
+    /// The last status received from each agent about the rank on its instance, and when it was received.
     struct Rank {
         RankNews status;
         TimePoint receivedAt;
     };
     std::vector<Rank> ranks;
-    /// A closed or slow rank by the word of another entry, and when its agent said so.
+    /// A closed or slow rank as reported by another entry, and the time of the agent's status behind the report.
     struct DegradedReport {
         Endpoint address;
         TimePoint reportedAt;
@@ -37,15 +37,15 @@
         double pace { 1 };
     };
     std::vector<DegradedReport> peerDegradedRanks;
-    /// What runs at the servers of another data centre, by its word.
+    /// Load of the servers of another data centre, as reported by that data centre.
     struct RemoteLoad {
         DataCentreName dataCentre;
         ServiceLoad load;
     };
     std::vector<RemoteLoad> remoteLoads;
-    /// Of this entry.
+    /// Data centre of this entry.
     DataCentreName dataCentre;
-    /// Load is told, and known, within the data centre only.
+    /// True if entries exchange the load of single servers only within their data centre.
     bool isLoadSharedLocally { false };
 };
 
