--- a/src/gateway/dispatcher.cc
+++ b/src/gateway/dispatcher.cc
@@ -105,8 +105,8 @@
         onRequestArrived(now, *arrived, effects);
     else if (auto* ended = std::get_if<AttemptEnded>(&event))
         onAttemptEnded(now, *ended, effects);
-    else if (auto* began = std::get_if<ResponseStarted>(&event))
-        onResponseStarted(now, began->call);
+    else if (auto* responseStarted = std::get_if<ResponseStarted>(&event))
+        onResponseStarted(now, responseStarted->call);
     else if (auto* closed = std::get_if<CallClosed>(&event))
         onCallClosed(closed->call);
     else if (auto* limit = std::get_if<LimitReceived>(&event))
@@ -120,7 +120,7 @@
         m_loadBalancer.setServers(now, *changed->snapshot);
         m_retries.raiseMaxEntries(changed->snapshot->maxEntries);
     } else if (auto* load = std::get_if<LoadReceived>(&event))
-        m_loadBalancer.onLoadUpdate(now, load->news);
+        m_loadBalancer.onLoadUpdate(now, load->update);
     cancelStalledAttempts(now, effects);
     dispatchQueued(now, effects);
     m_lastEventAt = now;
@@ -409,9 +409,9 @@
     auto left = std::max(deadline - now, Clock::duration(0));
     auto maxWait = std::chrono::duration_cast<Clock::duration>(maxWaitShare * left);
     // Jitter keeps the clients of a whole outage from returning at the same moment.
-    boost::random::uniform_real_distribution<double> spread(0.8, 1.0);
+    boost::random::uniform_real_distribution<double> jitter(0.8, 1.0);
     auto wait = std::min<Clock::duration>(outageRetryDelay, maxWait);
-    return now + std::chrono::duration_cast<Clock::duration>(spread(generator) * wait);
+    return now + std::chrono::duration_cast<Clock::duration>(jitter(generator) * wait);
 }
 
 /// Schedules the retries of clients one after the other at the rate that the limits allow. A client whose turn would
@@ -423,8 +423,8 @@
     auto& next = m_nextClientRetryAt[call.service];
     auto at = std::max(next, now + std::min<Clock::duration>(overloadRetryDelay, maxWait));
     if (rate <= 0 || at > now + maxWait) {
-        boost::random::uniform_real_distribution<double> spread(0.5, 1.0);
-        return now + std::chrono::duration_cast<Clock::duration>(spread(m_generator) * maxWait);
+        boost::random::uniform_real_distribution<double> jitter(0.5, 1.0);
+        return now + std::chrono::duration_cast<Clock::duration>(jitter(m_generator) * maxWait);
     }
     next = at + std::chrono::duration_cast<Clock::duration>(std::min(std::chrono::duration<double>(1 / rate), std::chrono::duration<double>(maxClientWait)));
     return at;
@@ -439,8 +439,8 @@
     auto latest = backOffEndsAt + std::max<Clock::duration>(overloadRetryJitter, (backOffEndsAt - now) / 2);
     if (backOffEndsAt < maxWaitEndsAt)
         latest = std::min(latest, maxWaitEndsAt);
-    boost::random::uniform_real_distribution<double> spread(0, 1);
-    return backOffEndsAt + std::chrono::duration_cast<Clock::duration>(spread(m_generator) * (latest - backOffEndsAt));
+    boost::random::uniform_real_distribution<double> jitter(0, 1);
+    return backOffEndsAt + std::chrono::duration_cast<Clock::duration>(jitter(m_generator) * (latest - backOffEndsAt));
 }
 
 TimePoint Dispatcher::clientRetryTime(const Call& call, TimePoint now)
@@ -449,8 +449,8 @@
         return outageRetryTime(now, call.request.deadline, m_generator);
     if (auto throttling = m_loadBalancer.throttling(filterFor(call), now); throttling && throttling->isEveryServer)
         return throttling->isBackingOff && throttling->rate <= 0 ? retryTimeAfterBackOff(call, throttling->nextSendAt, now) : retryTimeWithinLimits(call, throttling->rate, now);
-    boost::random::uniform_int_distribution<int> spread(0, static_cast<int>(overloadRetryJitter.count()));
-    return now + overloadRetryDelay + milliseconds(spread(m_generator));
+    boost::random::uniform_int_distribution<int> jitter(0, static_cast<int>(overloadRetryJitter.count()));
+    return now + overloadRetryDelay + milliseconds(jitter(m_generator));
 }
 
 void Dispatcher::onCallClosed(CallId id)
--- a/src/gateway/dispatcher.h
+++ b/src/gateway/dispatcher.h
@@ -118,7 +118,7 @@
     std::shared_ptr<const Snapshot> snapshot;
 };
 struct LoadReceived {
-    LoadNews news;
+    LoadNews update;
 };
 /// The time of `Dispatcher::nextTick` has been reached.
 struct Ticked { };
--- a/src/gateway/load-balancer.cc
+++ b/src/gateway/load-balancer.cc
@@ -77,14 +77,14 @@
     m_servers = std::move(servers);
 }
 
-void LoadBalancer::onLoadUpdate(TimePoint now, const LoadNews& news)
+void LoadBalancer::onLoadUpdate(TimePoint now, const LoadNews& update)
 {
-    m_peerLoads.onUpdate(now, news);
-    for (auto& report : news.limits) {
+    m_peerLoads.onUpdate(now, update);
+    for (auto& report : update.limits) {
         if (m_limits.onPeerReport(now, report))
             logLimit(report.server, "entry");
     }
-    for (auto& silent : news.silent) {
+    for (auto& silent : update.silent) {
         auto it = std::find_if(m_servers.begin(), m_servers.end(), [&](auto& known) { return known.second.hash == silent.server; });
         if (it != m_servers.end())
             it->second.suspectUntil = std::max(it->second.suspectUntil, now + std::min(silent.remaining, stallBackOff));
@@ -389,14 +389,14 @@
 double LoadBalancer::occupancy(const ServiceName& service, TimePoint now) const
 {
     double running = 0;
-    double places = 0;
+    double slotCount = 0;
     for (auto& [incarnation, server] : m_servers) {
         if (server.server.service != service || !mayReceiveRequests(server, now))
             continue;
         running += totalLoad(server, now).running;
-        places += server.server.slots;
+        slotCount += server.server.slots;
     }
-    return places > 0 ? running / places : 1;
+    return slotCount > 0 ? running / slotCount : 1;
 }
 
 std::uint32_t LoadBalancer::runningRequests(const ServerIncarnation& incarnation, TimePoint now) const
--- a/src/gateway/load-balancer.h
+++ b/src/gateway/load-balancer.h
@@ -40,7 +40,7 @@
     static constexpr milliseconds activityWindow { 300 };
 
     void setServers(TimePoint now, const Snapshot& snapshot);
-    void onLoadUpdate(TimePoint now, const LoadNews& news);
+    void onLoadUpdate(TimePoint now, const LoadNews& update);
 
     void onAttemptStarted(TimePoint now, const ServerIncarnation& incarnation, const WorkSize& work);
     /// The server has processed the prompt of a request.
--- a/test/dispatcher_test.cc
+++ b/test/dispatcher_test.cc
@@ -20,7 +20,7 @@
         route.objective = milliseconds(400);
         route.maximumServers = maximumServers;
         route.services = { { model, 1 } };
-        show(std::move(servers));
+        setServers(std::move(servers));
     }
 
     static BackendServer server(const std::string& id, std::uint32_t slots = 8)
@@ -28,24 +28,24 @@
         return { BackendServerId(id), model, { boost::asio::ip::address_v4(0x0a000001), 8000 }, DataCentreName("a"), slots, ServerState::Ready };
     }
 
-    void show(std::vector<BackendServer> servers)
+    void setServers(std::vector<BackendServer> servers)
     {
         auto snapshot = std::make_shared<Snapshot>();
         snapshot->configuration = configuration;
         snapshot->servers = std::move(servers);
         snapshot->maxEntries = 1;
-        take(SnapshotChanged { snapshot });
+        apply(SnapshotChanged { snapshot });
     }
 
-    Effects take(const Event& event) { return last = dispatcher.apply(now, event); }
+    Effects apply(const Event& event) { return last = dispatcher.apply(now, event); }
 
     Effects arrive(std::uint64_t id, unsigned priority = 1)
     {
         CallRequest request { nullptr, &route, priority, now, now + route.timeout, Tokens(100), Tokens(50) };
-        return take(RequestArrived { CallId(id), request });
+        return apply(RequestArrived { CallId(id), request });
     }
 
-    Effects end(std::uint64_t id, AttemptOutcome end) { return take(AttemptEnded { CallId(id), end }); }
+    Effects end(std::uint64_t id, AttemptOutcome end) { return apply(AttemptEnded { CallId(id), end }); }
 
     /// The server that the last event sent `id` to; empty if it was not sent.
     std::string sentTo(std::uint64_t id) const
@@ -173,7 +173,7 @@
     REQUIRE(rig.dispatcher.nextTick().has_value());
     CHECK(*rig.dispatcher.nextTick() <= rig.now + milliseconds(200));
     rig.now = *rig.dispatcher.nextTick();
-    rig.take(Ticked {});
+    rig.apply(Ticked {});
     REQUIRE(rig.refusal(2));
     CHECK(rig.refusal(2)->reason == RefusalReason::Overloaded);
     CHECK(rig.refusal(2)->verdict == Verdict::NotRun);
@@ -200,8 +200,8 @@
     rig.arrive(1);
     rig.arrive(2);
     rig.arrive(3);
-    rig.take(CallClosed { CallId(2) });
-    rig.take(CallClosed { CallId(1) });
+    rig.apply(CallClosed { CallId(2) });
+    rig.apply(CallClosed { CallId(1) });
     CHECK(rig.sentTo(3) == "s1");
 }
 
@@ -224,7 +224,7 @@
     CHECK(rig.last.empty());
     REQUIRE(rig.dispatcher.nextTick() == rig.now + DispatcherOptions().retryDelay);
     rig.now = *rig.dispatcher.nextTick();
-    rig.take(Ticked {});
+    rig.apply(Ticked {});
     CHECK(rig.sentTo(1) == "s1");
 }
 
@@ -235,10 +235,10 @@
     rig.end(1, AttemptOutcome::Lost);
     auto gone = Rig::server("s1");
     gone.state = ServerState::Draining;
-    rig.show({ gone, Rig::server("s2", 0) });
+    rig.setServers({ gone, Rig::server("s2", 0) });
     CHECK_FALSE(rig.refusal(1));
     rig.now = start + DispatcherOptions().recoveryTimeout;
-    rig.take(Ticked {});
+    rig.apply(Ticked {});
     REQUIRE(rig.refusal(1));
     CHECK(rig.refusal(1)->verdict == Verdict::MayHaveRun);
 }
@@ -252,7 +252,7 @@
     options.retries.slack = 0;
     options.retries.margin = 1;
     rig.dispatcher = Dispatcher(options, policy::Generator(3));
-    rig.show({ Rig::server("s1", 100), Rig::server("s2", 100) });
+    rig.setServers({ Rig::server("s1", 100), Rig::server("s2", 100) });
     for (std::uint64_t id = 1; id <= 50; ++id)
         rig.arrive(id);
     int repeats = 0;
@@ -303,18 +303,18 @@
     std::vector<BackendServer> ranks;
     for (int n = 1; n <= 8; ++n)
         ranks.push_back(Rig::server("s" + std::to_string(n)));
-    rig.show(ranks);
+    rig.setServers(ranks);
     constexpr std::uint64_t requests = 20;
     constexpr milliseconds formed { 700 };
     std::vector<std::uint64_t> running;
     unsigned refused = 0;
     unsigned served = 0;
-    unsigned sends = 0;
-    auto note = [&] {
+    unsigned attempts = 0;
+    auto countEffects = [&] {
         for (auto& effect : rig.last) {
             if (auto* sent = std::get_if<StartAttempt>(&effect)) {
                 running.push_back(sent->call.value());
-                ++sends;
+                ++attempts;
             }
             refused += std::holds_alternative<Refuse>(effect) ? 1 : 0;
         }
@@ -323,25 +323,25 @@
         auto at = static_cast<std::uint64_t>((rig.now - start) / milliseconds(10));
         if (at < requests) {
             rig.arrive(at + 1);
-            note();
+            countEffects();
         }
-        rig.take(Ticked {});
-        note();
+        rig.apply(Ticked {});
+        countEffects();
         while (!running.empty()) {
             auto id = running.back();
             running.pop_back();
             bool isServed = rig.now >= start + formed;
             served += isServed ? 1 : 0;
             rig.end(id, isServed ? AttemptOutcome::Answered : AttemptOutcome::NotRun);
-            note();
+            countEffects();
             if (isServed)
-                rig.take(CallClosed { CallId(id) });
+                rig.apply(CallClosed { CallId(id) });
         }
     }
     CHECK(refused == 0);
     CHECK(served == requests);
     // Attempts in the meantime are charged to the retry budget: a few per request at most.
-    CHECK(sends <= 6 * requests);
+    CHECK(attempts <= 6 * requests);
 }
 
 // As above, but the groups do not form: each request is refused after the wait, with a retry time.
@@ -349,10 +349,10 @@
 {
     Rig rig({});
     rig.makeRanks();
-    rig.show({ Rig::server("s1"), Rig::server("s2"), Rig::server("s3") });
+    rig.setServers({ Rig::server("s1"), Rig::server("s2"), Rig::server("s3") });
     rig.arrive(1);
     bool isRefused = false;
-    for (; !isRefused && rig.now < start + seconds(3); rig.take(Ticked {})) {
+    for (; !isRefused && rig.now < start + seconds(3); rig.apply(Ticked {})) {
         while (!rig.sentTo(1).empty())
             rig.end(1, AttemptOutcome::NotRun);
         if (auto* refusal = rig.refusal(1)) {
@@ -373,7 +373,7 @@
 {
     Rig rig({});
     rig.makeRanks();
-    auto show = [&](bool isSecondOpen, bool isFirstOpen) {
+    auto setServers = [&](bool isSecondOpen, bool isFirstOpen) {
         auto snapshot = std::make_shared<Snapshot>();
         snapshot->configuration = rig.configuration;
         snapshot->servers = { Rig::server("s1"), Rig::server("s2", 40) };
@@ -384,12 +384,12 @@
             closed(snapshot->servers[0]);
         if (!isSecondOpen)
             closed(snapshot->servers[1]);
-        rig.take(SnapshotChanged { snapshot });
+        rig.apply(SnapshotChanged { snapshot });
     };
-    show(false, false);
+    setServers(false, false);
     unsigned refused = 0;
     unsigned sent = 0;
-    auto note = [&] {
+    auto countEffects = [&] {
         for (auto& effect : rig.last) {
             refused += std::holds_alternative<Refuse>(effect) ? 1 : 0;
             sent += std::holds_alternative<StartAttempt>(effect) ? 1 : 0;
@@ -398,15 +398,15 @@
     constexpr std::uint64_t requests = 20;
     for (std::uint64_t id = 1; id <= requests; ++id) {
         rig.arrive(id);
-        note();
+        countEffects();
     }
     rig.now += milliseconds(900);
-    show(false, true);
-    note();
+    setServers(false, true);
+    countEffects();
     CHECK(sent == 8);
     rig.now += milliseconds(100);
-    show(true, true);
-    note();
+    setServers(true, true);
+    countEffects();
     CHECK(refused == 0);
     CHECK(sent == requests);
 }
@@ -417,12 +417,12 @@
 {
     Rig rig({});
     rig.makeRanks();
-    rig.show({ Rig::server("s1"), Rig::server("s2"), Rig::server("s3") });
+    rig.setServers({ Rig::server("s1"), Rig::server("s2"), Rig::server("s3") });
     rig.arrive(1);
     for (int n = 0; n < 3; ++n) {
         auto at = rig.sentTo(1);
         REQUIRE(!at.empty());
-        rig.take(BackOffRequested { { BackendServerId(at), {} }, { rig.now + seconds(3) } });
+        rig.apply(BackOffRequested { { BackendServerId(at), {} }, { rig.now + seconds(3) } });
         rig.end(1, AttemptOutcome::NotRun);
     }
     REQUIRE(rig.refusal(1));
@@ -440,7 +440,7 @@
     Rig rig({ Rig::server("s1"), Rig::server("s2") }, 1);
     rig.arrive(1);
     auto first = rig.sentTo(1);
-    rig.take(BackOffRequested { { BackendServerId(first), {} }, { rig.now + seconds(3) } });
+    rig.apply(BackOffRequested { { BackendServerId(first), {} }, { rig.now + seconds(3) } });
     rig.end(1, AttemptOutcome::Lost);
     REQUIRE(rig.refusal(1));
     CHECK(rig.refusal(1)->verdict == Verdict::MayHaveRun);
@@ -451,15 +451,15 @@
 {
     Rig rig({ Rig::server("s1") });
     rig.arrive(1);
-    rig.take(BackOffRequested { { BackendServerId("s1"), {} }, { rig.now + seconds(3) } });
+    rig.apply(BackOffRequested { { BackendServerId("s1"), {} }, { rig.now + seconds(3) } });
     rig.end(1, AttemptOutcome::NotRun);
-    rig.show({});
-    rig.show({ Rig::server("s1") });
+    rig.setServers({});
+    rig.setServers({ Rig::server("s1") });
     rig.arrive(2);
     CHECK(rig.refusal(2));
     auto next = Rig::server("s1");
     next.startedAt = ServerStartTime(5);
-    rig.show({ next });
+    rig.setServers({ next });
     rig.arrive(3);
     CHECK(rig.sentTo(3) == "s1");
 }
@@ -470,14 +470,14 @@
     Rig rig({ Rig::server("s1") });
     rig.arrive(1);
     auto restEndsAt = rig.now + milliseconds(100);
-    rig.take(BackOffRequested { { BackendServerId("s1"), {} }, { restEndsAt } });
+    rig.apply(BackOffRequested { { BackendServerId("s1"), {} }, { restEndsAt } });
     rig.end(1, AttemptOutcome::NotRun);
     rig.arrive(2);
     CHECK_FALSE(rig.refusal(2));
     REQUIRE(rig.dispatcher.nextTick());
     CHECK(*rig.dispatcher.nextTick() >= restEndsAt);
     rig.now = *rig.dispatcher.nextTick();
-    rig.take(Ticked {});
+    rig.apply(Ticked {});
     CHECK(rig.sentTo(2) == "s1");
 }
 
@@ -489,17 +489,17 @@
     rig.arrive(1);
     auto leaving = rig.sentTo(1);
     auto other = leaving == "s1" ? "s2" : "s1";
-    rig.take(LeavingReported { { BackendServerId(leaving), {} } });
+    rig.apply(LeavingReported { { BackendServerId(leaving), {} } });
     CHECK(std::holds_alternative<PublishLeaving>(rig.last.at(0)));
-    CHECK(rig.take(LeavingReported { { BackendServerId(leaving), {} } }).empty());
+    CHECK(rig.apply(LeavingReported { { BackendServerId(leaving), {} } }).empty());
     // The list still shows the server as ready.
-    rig.show({ Rig::server("s1"), Rig::server("s2") });
+    rig.setServers({ Rig::server("s1"), Rig::server("s2") });
     for (std::uint64_t n = 2; n < 8; ++n) {
         rig.arrive(n);
         CHECK(rig.sentTo(n) == other);
     }
     CHECK(rig.end(1, AttemptOutcome::Answered).empty());
-    rig.take(LeavingReported { { BackendServerId(other), {} } });
+    rig.apply(LeavingReported { { BackendServerId(other), {} } });
     rig.arrive(9);
     REQUIRE(rig.refusal(9));
     CHECK(rig.refusal(9)->reason == RefusalReason::NoServer);
@@ -512,7 +512,7 @@
     Rig rig({ Rig::server("s1"), Rig::server("s2") }, 1);
     rig.arrive(1);
     auto leaving = rig.sentTo(1);
-    rig.take(LeavingReported { { BackendServerId(leaving), {} } });
+    rig.apply(LeavingReported { { BackendServerId(leaving), {} } });
     rig.end(1, AttemptOutcome::Lost);
     REQUIRE(rig.refusal(1));
     CHECK(rig.refusal(1)->reason == RefusalReason::Lost);
--- a/test/load-balancer_test.cc
+++ b/test/load-balancer_test.cc
@@ -72,8 +72,8 @@
 {
     LoadBalancer balancer;
     balancer.setServers(start, snapshotOf({ server(1), server(2) }));
-    LoadNews news { Incarnation(5), 2, { { hashOf(incarnation("s1")), 1, Tokens(4000) } } };
-    balancer.onLoadUpdate(start, news);
+    LoadNews update { Incarnation(5), 2, { { hashOf(incarnation("s1")), 1, Tokens(4000) } } };
+    balancer.onLoadUpdate(start, update);
     CHECK(chosen(balancer, start) == "s2");
     balancer.onLoadUpdate(start, { Incarnation(5), 1, {} });
     balancer.onAttemptStarted(start, incarnation("s2"), { Tokens(3000) });
