--- a/src/gateway/control-message.cc
+++ b/src/gateway/control-message.cc
@@ -268,10 +268,10 @@
     return membership::NodeKey(XXH3_64bits_withSeed(text.data(), text.size(), control.port()));
 }
 
-ServerHash hashOf(const ServerLife& life)
+ServerHash hashOf(const ServerLife& incarnation)
 {
-    auto& id = life.id.value();
-    return ServerHash(XXH3_64bits_withSeed(id.data(), id.size(), life.startedAt.value()));
+    auto& id = incarnation.id.value();
+    return ServerHash(XXH3_64bits_withSeed(id.data(), id.size(), incarnation.startedAt.value()));
 }
 
 std::string_view toString(ControlMessageKind kind)
--- a/src/gateway/control-message.h
+++ b/src/gateway/control-message.h
@@ -45,7 +45,7 @@
 
 /// Identifies an incarnation of a server by a hash, to keep datagrams small.
 using ServerHash = Strong<struct ServerHashTag, std::uint64_t>;
-ServerHash hashOf(const ServerLife& life);
+ServerHash hashOf(const ServerLife& incarnation);
 /// Identifies an entry by a hash of its control address, which all entries compute in the same way.
 membership::NodeKey keyOf(const Endpoint& control);
 
--- a/src/gateway/control-state-servers.cc
+++ b/src/gateway/control-state-servers.cc
@@ -37,8 +37,8 @@
     if (item.isRemoved) {
         m_loggedRejections.erase(item.name);
         // A server whose entry may only have expired stays in use for a while, and so does its document.
-        if (auto life = m_servers.remove(now, item.position(), id)) {
-            markLeavingChanged(m_departures.onRemoved(now, hashOf(*life), item.position()));
+        if (auto incarnation = m_servers.remove(now, item.position(), id)) {
+            markLeavingChanged(m_departures.onRemoved(now, hashOf(*incarnation), item.position()));
             m_serverItems.erase(item.name);
             markServersChanged();
         }
--- a/src/gateway/control-state.cc
+++ b/src/gateway/control-state.cc
@@ -39,8 +39,8 @@
         m_pulls.onFailed(pullFailed->topic);
     else if (auto* measured = std::get_if<LoadsMeasured>(&event))
         m_ownLoads = measured->loads;
-    else if (auto* heard = std::get_if<LeavingReported>(&event))
-        markLeavingChanged(m_departures.onSaid(now, hashOf(heard->server)));
+    else if (auto* leaving = std::get_if<LeavingReported>(&event))
+        markLeavingChanged(m_departures.onSaid(now, hashOf(leaving->server)));
     else if (std::holds_alternative<StopRequested>(event)) {
         m_isLeaving = true;
         m_nextHelloAt = now;
--- a/src/gateway/server-registry.cc
+++ b/src/gateway/server-registry.cc
@@ -106,9 +106,9 @@
         it->second.expiresAt = grace;
         return std::nullopt;
     }
-    auto life = it->second.server.life();
+    auto incarnation = it->second.server.life();
     m_entries.erase(it);
-    return life;
+    return incarnation;
 }
 
 void ServerRegistry::advanceTo(StorePosition position)
--- a/test/entry-registry_test.cc
+++ b/test/entry-registry_test.cc
@@ -209,8 +209,8 @@
     registry.onHello(helloOf(watching(20, "b", true)), start);
     CHECK_FALSE(registry.shouldWatch(start));
     // The store rejects one of them.
-    auto turnedAway = watching(2, "a", false);
-    turnedAway.heartbeat = 2;
-    registry.onHello(helloOf(turnedAway), start + milliseconds(1));
+    auto rejected = watching(2, "a", false);
+    rejected.heartbeat = 2;
+    registry.onHello(helloOf(rejected), start + milliseconds(1));
     CHECK(registry.shouldWatch(start + milliseconds(1)));
 }
--- a/test/large-fleet_test.cc
+++ b/test/large-fleet_test.cc
@@ -105,8 +105,8 @@
     {
         auto snapshot = m_entries[entry].state.snapshot(now);
         auto isClosed = [&](auto& it) { return !it.news.isOpen && it.news.address == engineAt(engine) && it.heardAt + RankBoard::degradedToldFor > now; };
-        auto isTold = [&](auto& it) { return !it.isOpen && it.address == engineAt(engine); };
-        return std::any_of(snapshot.ranks.begin(), snapshot.ranks.end(), isClosed) || std::any_of(snapshot.degradedElsewhere.begin(), snapshot.degradedElsewhere.end(), isTold);
+        auto isReported = [&](auto& it) { return !it.isOpen && it.address == engineAt(engine); };
+        return std::any_of(snapshot.ranks.begin(), snapshot.ranks.end(), isClosed) || std::any_of(snapshot.degradedElsewhere.begin(), snapshot.degradedElsewhere.end(), isReported);
     }
     unsigned entriesKnowing(unsigned engine) const
     {
--- a/test/list-fleet.h
+++ b/test/list-fleet.h
@@ -260,7 +260,7 @@
         return protocol;
     }
 
-    std::size_t pick(std::size_t least, std::size_t most) { return std::uniform_int_distribution<std::size_t>(least, most)(m_random); }
+    std::size_t pick(std::size_t min, std::size_t max) { return std::uniform_int_distribution<std::size_t>(min, max)(m_random); }
     std::pair<const std::string, Server>* pickLiving()
     {
         std::vector<std::pair<const std::string, Server>*> living;
--- a/test/store-restore_test.cc
+++ b/test/store-restore_test.cc
@@ -10,9 +10,9 @@
 
 constexpr int entries = 7;
 
-int pick(std::mt19937_64& random, int least, int most)
+int pick(std::mt19937_64& random, int min, int max)
 {
-    return std::uniform_int_distribution<int>(least, most)(random);
+    return std::uniform_int_distribution<int>(min, max)(random);
 }
 
 void injectFault(ListFleet& fleet, std::mt19937_64& random)
