--- a/test/platform-protocol_test.cc
+++ b/test/platform-protocol_test.cc
@@ -73,7 +73,7 @@
     CHECK_FALSE(protocol.decodeRequest(wrong, start).has_value());
 }
 
-// A client writes another organisation's name into its request, or reads another's key at the server.
+// Failure: a client sets another organisation's name in its request, or reads another client's key at the server.
 TEST_CASE("Platform: the server gets the organisation that holds the key, and never the key")
 {
     auto protocol = platform::makeProtocol();
@@ -90,7 +90,7 @@
     CHECK(valueOf(open, "X-Tenant") == "(absent)");
 }
 
-TEST_CASE("Platform: only some answers promise that nothing ran")
+TEST_CASE("Platform: only some responses guarantee that the request did not run")
 {
     auto decode = [protocol = platform::makeProtocol()](const ResponseFields& it) { return protocol.decodeResponse(it, start); };
     ResponseFields fields;
@@ -109,7 +109,7 @@
     CHECK(decode(good).requestId == "abc");
 }
 
-// Failure: a limit that is read wrongly is exceeded, or keeps a server idle.
+// Failure: a limit is misread, and is then exceeded or keeps a server idle.
 TEST_CASE("Platform: a limit that a server names is decoded")
 {
     auto decode = [protocol = platform::makeProtocol()](const ResponseFields& it) { return protocol.decodeResponse(it, start); };
@@ -143,8 +143,8 @@
     CHECK(platform::makeProtocol().decodeResponse(fields, start).limit->rate == RequestRate(2));
 }
 
-// Failure: a rest that is read wrongly is cut short, or keeps a server idle.
-TEST_CASE("Platform: a rest that a server asks for is decoded")
+// Failure: a back-off is misread, and then ends too early or keeps a server idle.
+TEST_CASE("Platform: a back-off that a server asks for is decoded")
 {
     auto decode = [protocol = platform::makeProtocol()](unsigned status, const std::vector<const char*>& texts) {
         ResponseFields fields;
@@ -164,7 +164,7 @@
     INFO(unreadable);
     REQUIRE(decode(503, { unreadable }).has_value());
     CHECK_FALSE(decode(503, { unreadable })->until.has_value());
-    // Only what turns a request away asks for rest.
+    // Only a response that rejects a request can ask for a back-off.
     auto other = GENERATE(200U, 421U, 500U, 504U);
     CHECK_FALSE(decode(other, { "3" }).has_value());
 }
@@ -214,8 +214,8 @@
     CHECK(server.startedAt == ServerStart(1780000000123));
 }
 
-// Something that is no backend server writes into the list. Requests that went there would be lost, or run by a process
-// that was never meant to get them.
+// Failure: a writer that is not a backend server adds an entry to the list. Requests sent there would be lost, or run by a
+// process that was never meant to get them.
 TEST_CASE("Platform: an entry of the list that lacks a field, or has one of another type, names no server")
 {
     auto sound = boost::json::parse(serverText).as_object();
@@ -248,9 +248,9 @@
         CHECK_FALSE(platform::decodeServer(id, serverText).has_value());
 }
 
-// As above, with whatever bytes the other writer leaves there: an entry must go on, and what it still takes for a server
-// has an id, an address and room.
-TEST_CASE("Platform: entries of the list with any bytes are refused or whole")
+// Failure: as above, with arbitrary bytes in the list entry. Decoding must only fail as malformed input, and whatever is accepted
+// as a server must have an id, an address and slots.
+TEST_CASE("Platform: list entries with arbitrary bytes are rejected or complete")
 {
     std::mt19937 random(11);
     int sound = 0;
@@ -279,8 +279,8 @@
     CHECK(sound > 0);
 }
 
-// Whatever lies in the store must not stop an entry.
-TEST_CASE("Platform: damaged documents are refused or read, and never more")
+// Failure: a damaged document in the store stops an entry.
+TEST_CASE("Platform: damaged documents are decoded or rejected as malformed")
 {
     std::mt19937 random(5);
     for (int n = 0; n < 3000; ++n) {
--- a/test/process/platform-entry_test.cc
+++ b/test/process/platform-entry_test.cc
@@ -21,7 +21,7 @@
 
 namespace {
 
-/// One real entry before the users' platform, with its log in a file.
+/// A real entry process connected to the fake platform, with its log in a file.
 class EntryRig {
 public:
     EntryRig()
@@ -99,8 +99,8 @@
     CHECK_THAT(call({ .address = rig.metrics, .target = "/metrics" }).body, Contains("swiftloft_entry_requests_total{service=\"model\",outcome=\"answered\"} 3"));
 }
 
-// A client sends what is no request, or more than the configuration allows. Nothing of it reaches a backend server.
-TEST_CASE("Platform entry: what can't be a request is refused and goes nowhere")
+// Failure: a client sends an invalid request, or more than the configuration allows, and it reaches a backend server.
+TEST_CASE("Platform entry: invalid requests are rejected and not forwarded")
 {
     EntryRig rig;
     rig.start();
@@ -116,8 +116,8 @@
     CHECK(rig.platform.runs().empty());
 }
 
-// An owner's letter is being streamed when the entry is told to stop for an upgrade.
-TEST_CASE("Platform entry: a stream in progress ends whole when the entry is told to stop")
+// Failure: a stream to a client is truncated when the entry is stopped for an upgrade.
+TEST_CASE("Platform entry: a stream in progress is completed when the entry is stopped")
 {
     EntryRig rig;
     rig.start();
@@ -133,10 +133,10 @@
     CHECK_THAT(rig.log(), Contains("ProcessStopped"));
 }
 
-// An upgrade replaces an entry, which is told to stop and does not end: the platform kills it after its grace, with what
-// it still had. Requests wait at servers that say nothing, and their callers have sent more behind them, so that neither
-// side's connection ends. What still waited was destroyed after the tables that it signs off from.
-TEST_CASE("Platform entry: one told to stop ends in time while requests wait at silent servers")
+// Failure: an entry that is stopped for an upgrade does not end, and the platform kills it with its remaining requests after the
+// grace period. Requests wait at silent servers and their clients have already sent further requests, so neither connection
+// closes. The waiting coroutines were destroyed after the tables that they unregister from.
+TEST_CASE("Platform entry: a stopped entry ends in time while requests wait at silent servers")
 {
     EntryRig rig;
     rig.start();
@@ -161,7 +161,7 @@
     CHECK_THAT(rig.log(), Contains("ProcessStopped"));
 }
 
-// Failure: a server in need gets more than it takes, as the limit that its answers name goes unread.
+// Failure: the limit in a server's responses is ignored, and an overloaded server gets more requests than it accepts.
 TEST_CASE("Platform entry: servers get no more than the limits that they name")
 {
     EntryRig rig;
@@ -180,8 +180,8 @@
     CHECK_THAT(rig.log(), Contains("ServerLimitChanged") && Contains("limit=1 source=answer"));
 }
 
-// Failure: a server turns requests away and asks for rest, and gets the next ones all the same.
-TEST_CASE("Platform entry: a server that asks for rest gets none until it is over")
+// Failure: a server rejects requests and asks for a back-off, and still gets the next requests.
+TEST_CASE("Platform entry: a server that asks for a back-off gets no requests until it is over")
 {
     EntryRig rig;
     rig.start();
@@ -199,18 +199,19 @@
     CHECK_THAT(rig.log(), Contains("ServerRestAsked e1 server=i-1 rest-ms=2"));
 }
 
-// Failure: a server leaves after the store's return from an older copy, its removal is taken for old, and it goes on to get requests.
-TEST_CASE("Platform entry: a server that leaves after the store's return from an older copy gets no requests")
+// Failure: a server leaves after the store was restored from an older copy. Its removal is taken for an old change, and the server
+// still gets requests.
+TEST_CASE("Platform entry: a server that leaves after the store was restored from an older copy gets no requests")
 {
     EntryRig rig;
     auto copy = rig.platform.copyStore();
     rig.start();
     REQUIRE(rig.isReady());
-    // The entry learns revisions that are about to be given out again.
+    // The entry receives revisions that the restored store will issue again.
     for (int n = 0; n < 5; ++n)
         rig.platform.publish("k1", "org-k1");
     REQUIRE(waitUntil(Clock::now() + seconds(3), [&] { return rig.log().find("SettingsInForce e1 version=6") != std::string::npos; }));
-    // Until its watch of the server list has ended once.
+    // Wait until the entry's watch of the server list has ended once.
     std::this_thread::sleep_for(milliseconds(2000));
     rig.platform.restoreStore(*copy, milliseconds(100), milliseconds(3000));
     std::this_thread::sleep_for(milliseconds(2500));
@@ -227,8 +228,8 @@
     CHECK(late == 0);
 }
 
-// Failure: the list says nothing of a server that is leaving and says so in its answers, and it goes on to get requests.
-TEST_CASE("Platform entry: a server that says in its answers that it leaves gets no more requests")
+// Failure: a server reports in its responses that it is leaving, but the list does not show it, and the server still gets requests.
+TEST_CASE("Platform entry: a server that reports in its responses that it is leaving gets no more requests")
 {
     EntryRig rig;
     rig.start();
@@ -245,12 +246,12 @@
     int late = 0;
     for (auto& [id, runs] : rig.platform.runs())
         late += static_cast<int>(std::count_if(runs.begin(), runs.end(), [&](auto& it) { return it.server == leavingServer && it.at > announced[leavingServer][0] + seconds(2); }));
-    INFO(late << " requests reached " << leavingServer << " more than 2 s after it had said that it leaves, expected 0");
+    INFO(late << " requests reached " << leavingServer << " more than 2 s after it had reported that it is leaving, expected 0");
     CHECK(late == 0);
 }
 
-// Failure: a late answer to an earlier request is thrown away, and with it that its server leaves.
-TEST_CASE("Platform entry: what a stray answer says of its server counts")
+// Failure: a late response to an earlier request is discarded together with its report that the server is leaving.
+TEST_CASE("Platform entry: what a stray response reports about its server is applied")
 {
     EntryRig rig;
     rig.start();
@@ -263,7 +264,8 @@
     CHECK_THAT(rig.log(), Contains("StrayAnswer") && Contains("ServerSaysLeaving e1 server=i-1"));
 }
 
-// Failure: a server stands still, its callers leave after two seconds without an event, and it works for nobody when it wakes.
+// Failure: a server stalls. Its clients leave after two seconds without an event, and the server runs their requests for nobody
+// when it resumes.
 TEST_CASE("Platform entry: a stream goes on at another server when its own falls silent")
 {
     EntryRig rig;
@@ -271,7 +273,7 @@
     REQUIRE(rig.isReady());
     rig.platform.setServerMode(0, ServerMode::Stalling);
     std::atomic<bool> isOver { false };
-    // The other server goes on meanwhile.
+    // The other server continues to send events meanwhile.
     auto others = std::async(std::launch::async, [&] {
         for (int n = 0; !isOver; ++n)
             call(rig.request("stream", fmt::format("o{}", n)));
@@ -319,8 +321,8 @@
     CHECK_THAT(rig.log(), Contains("entry.ini:17: key 'least-entries' has value 'none'; expected a number from 1 to 100000"));
 }
 
-// A server loses the answer of a request that must not run twice; another one is refused for want of room. On-call has
-// the two ids and the log.
+// Failure: a server drops the response to a request that must not run twice, another request is refused because all servers are
+// full, and the ids and the log do not explain why.
 TEST_CASE("Platform entry: a failed request is explained from its id")
 {
     EntryRig rig;
--- a/test/soak/fake-platform.cc
+++ b/test/soak/fake-platform.cc
@@ -155,12 +155,12 @@
 void FakePlatform::listServer(std::size_t index)
 {
     auto& server = m_servers[index];
-    // All fields that a server writes: an entry that lacks one names no server.
+    // All fields that a server writes: an entry that lacks one is rejected.
     json::object entry { { "service", "model" }, { "address", server.address }, { "zone", "dc" }, { "version", "v1" }, { "slots", m_slots },
         { "state", server.state }, { "coldRemainingMs", 0 }, { "sequence", 0 } };
     auto key = "servers/" + server.id;
     auto value = json::serialize(entry);
-    // A heartbeat that says nothing new changes nothing.
+    // A heartbeat without changes does not change the revision.
     auto it = m_items.find(key);
     if (it == m_items.end() || it->second.isRemoved || it->second.value != value)
         put(key, value);
@@ -205,7 +205,7 @@
     return server.id;
 }
 
-/// Its successor is at the same address; what still names the old one is turned away.
+/// The successor has the same address; requests that still name the old server are rejected.
 void FakePlatform::replaceAfter(std::size_t index, const std::string& id, milliseconds time)
 {
     m_drainedAt[id] = Clock::now();
@@ -261,7 +261,7 @@
     }
 }
 
-/// Removes what no server keeps up.
+/// Removes the entries that no server renews.
 void FakePlatform::expireStaleEntries()
 {
     for (auto& [key, item] : m_items) {
@@ -313,7 +313,7 @@
     return json::serialize(json::object { { "items", itemsSince(prefix, 0, false) }, { "truncated", false }, { "asOf", m_revision } });
 }
 
-/// Empty while there are no changes, unless `isDue`.
+/// Empty if there are no changes, unless `isDue`.
 std::string FakePlatform::watchBody(const std::string& prefix, std::uint64_t after, bool isDue) const
 {
     std::scoped_lock lock(m_mutex);
--- a/test/soak/fake-platform.h
+++ b/test/soak/fake-platform.h
@@ -21,31 +21,31 @@
 #include <thread>
 #include <vector>
 
-/// The users' platform on the loopback address: its store, and backend servers that remember what they ran. Runs on a
-/// thread of its own; all calls may come from any thread.
+/// Fake of the users' platform on the loopback address: its store, and backend servers that record what they ran. Runs on its
+/// own thread; all functions may be called from any thread.
 namespace swiftloft::soak {
 
 enum class StoreMode {
     Normal,
-    /// Answers 503.
+    /// Returns status 503.
     Unavailable,
-    /// Takes calls and never answers.
+    /// Accepts requests and never responds.
     Silent,
 };
 
 enum class ServerMode {
     Normal,
-    /// Runs requests and drops the connection instead of answering.
+    /// Runs requests and drops the connection instead of responding.
     DroppingResponses,
-    /// Turns requests away without running them.
+    /// Rejects requests without running them.
     Full,
-    /// Breaks streams off in the middle of an event.
+    /// Ends streams in the middle of an event.
     TruncatingStreams,
-    /// Sends the answer to another request before the right one.
+    /// Sends responses that carry the id of another request.
     StrayResponses,
-    /// Runs requests and answers them only after a minute.
+    /// Runs requests and responds only after a minute.
     Silent,
-    /// Says nothing for a minute after the first events of a stream.
+    /// Sends nothing for a minute after the first events of a stream.
     Stalling,
 };
 
@@ -56,56 +56,57 @@
     std::string organisation;
     TimePoint at;
     std::uint64_t configuration { 0 };
-    /// When the server first answered that entry that it leaves, if it has.
+    /// When the server first reported to the entry that it is leaving; unset if it has not.
     std::optional<TimePoint> leavingAnnouncedAt {};
 };
 
 class FakePlatform {
 public:
-    /// `servers` of the one service, each of `slots`.
+    /// Creates `servers` backend servers of one service, each with `slots` slots.
     FakePlatform(int servers, int slots);
     ~FakePlatform();
 
     std::string storeAddress() const { return m_storeAddress; }
     void setStoreMode(StoreMode mode) { m_storeMode = mode; }
     void setServerMode(std::size_t server, ServerMode mode);
-    /// From now on the server names this many requests a second in its answers, or none.
+    /// Sets the limit, in requests per second, that the server advertises in its responses; unset for none.
     void setLimit(std::size_t server, std::optional<double> rate);
-    /// From now on the server turns all requests away and asks for so long a rest, or does not any more.
+    /// Makes the server reject all requests and ask for a back-off of this length; unset to stop.
     void setBackOff(std::size_t server, std::optional<milliseconds> backOff);
-    /// The entry is killed, stopped, paused or back: it answers for no limit named, and no rest asked for, about then.
+    /// Exempts an entry that is killed, stopped, paused or resumed from the limits and back-offs that were requested around now.
     void exemptEntry(int entry);
-    /// A request id from which the stand-in learns through which entry a request comes. One without counts as of entry 0.
+    /// Request id that tells the fake platform through which entry the request is sent. A plain id counts as entry 0.
     static std::string requestIdVia(const std::string& id, std::size_t entry);
-    /// What was broken of the limits that servers named and of the rests that they asked for; empty when nothing was.
+    /// Violations of the limits that servers advertised and of the back-offs that they asked for; empty if there are none.
     std::vector<std::string> violations() const;
     /// Publishes a configuration in which `key` belongs to `organisation`; returns its version.
     std::uint64_t publish(const std::string& key, const std::string& organisation);
-    /// The store as it is now, to come back from later.
+    /// Copy of the store's current state, from which it can be restored later.
     struct StoreCopy;
     std::shared_ptr<const StoreCopy> copyStore() const;
-    /// The store comes back from an older copy: its era rises, its revisions go back and are given out again. What the operator and
-    /// the servers that live wrote since is written again after `rewriteAfter`; of servers that have gone meanwhile, what the copy
-    /// holds lapses after `expireAfter`.
+    /// Restores the store from an older copy: its era rises, its revisions go back and are issued again. What the operator and
+    /// the live servers wrote since is written again after `rewriteAfter`. Entries in the copy of servers that have left
+    /// meanwhile expire after `expireAfter`.
     void restoreStore(const StoreCopy& copy, milliseconds rewriteAfter, milliseconds expireAfter);
-    /// The server leaves without a word in the list: its entry is removed. It serves on for a moment and says so in its answers; then
-    /// a new one takes its place and its address.
+    /// Removes the server's list entry without listing it as draining. The server continues to serve for a moment and reports in
+    /// its responses that it is leaving; then a new server takes its place and its address. Returns the id of the server.
     std::string leave(std::size_t server);
-    /// The server is listed as draining; a new one with another id takes its place and its address after a moment.
+    /// Lists the server as draining. After a moment a new server with another id takes its place and its address. Returns the id
+    /// of the server.
     std::string drain(std::size_t server);
     std::size_t servers() const { return m_servers.size(); }
     std::string addressOf(std::size_t server) const { return m_servers[server].http ? m_servers[server].ownAddress : ""; }
-    /// Lists the server at another address, such as that of a relay before it.
+    /// Lists the server at another address, such as that of a relay in front of it.
     void setListedAddress(std::size_t server, const std::string& address);
 
     /// All runs so far, by request id.
     std::map<std::string, std::vector<Run>> runs() const;
     /// When each server that has left was listed as draining or removed.
     std::map<std::string, TimePoint> drainedAt() const;
-    /// When each server, by its id, first answered each entry that it leaves.
+    /// When each server, by its id, first reported to each entry that it is leaving.
     std::map<std::string, std::map<int, TimePoint>> leavingAnnouncedAt() const;
 
-    /// What a server answers to a plain request, and the events of its streams.
+    /// Body of a server's response to a plain request, and the number and content of the events of its streams.
     static std::string plainBody(const std::string& id);
     static constexpr int eventsPerStream { 12 };
     static std::string completeStream(const std::string& id);
@@ -113,15 +114,15 @@
 private:
     struct Server {
         std::string id;
-        /// As listed, and where it listens.
+        /// Address in the list, and the address on which the server listens.
         std::string address;
         std::string ownAddress;
         std::unique_ptr<standin::HttpServer> http;
         ServerMode mode { ServerMode::Normal };
         std::string state { "ready" };
-        /// Its entry has been removed, or says that it drains.
+        /// The server's list entry was removed or is marked as draining.
         bool isLeaving { false };
-        /// False for one that has left without a word: it writes no more.
+        /// False for a server whose entry was removed while it was ready: it no longer writes its entry.
         bool hasListEntry() const { return !isLeaving || state == "draining"; }
         int running { 0 };
         std::optional<double> limit;
--- a/test/soak/main.cc
+++ b/test/soak/main.cc
@@ -3,14 +3,14 @@
 #include <cxxopts.hpp>
 #include <fmt/format.h>
 
-/// Runs the soak with one seed after the other. Exits 1 when a promise was broken, with the seed and the trace.
+/// Runs the soak test with one seed after the other. Exits with 1 if a guarantee was violated, and prints the seed and the trace.
 int main(int argc, char** argv)
 {
     using namespace swiftloft;
-    cxxopts::Options options("swiftloft-soak", "Randomized faults against real entries; every seed can be run again.");
+    cxxopts::Options options("swiftloft-soak", "Soak test of real entries with random faults; a seed repeats the faults of a run.");
     options.add_options()("seed", "first seed", cxxopts::value<std::uint64_t>()->default_value("1"), "N");
-    options.add_options()("seeds", "how many", cxxopts::value<int>()->default_value("1"), "N");
-    options.add_options()("seconds", "length of each", cxxopts::value<int>()->default_value("8"), "S");
+    options.add_options()("seeds", "number of seeds", cxxopts::value<int>()->default_value("1"), "N");
+    options.add_options()("seconds", "length of each run", cxxopts::value<int>()->default_value("8"), "S");
     options.add_options()("entries", "entry processes", cxxopts::value<int>()->default_value("3"), "N");
     options.add_options()("servers", "backend servers", cxxopts::value<int>()->default_value("4"), "N");
     options.add_options()("clients", "clients, each with a connection to every entry", cxxopts::value<int>()->default_value("12"), "N");
--- a/test/soak/soak.cc
+++ b/test/soak/soak.cc
@@ -18,17 +18,17 @@
 namespace {
 
 constexpr milliseconds responseTimeout { 5000 };
-/// Promises of the settings file and the store's stand-in, with room for a busy machine.
+/// Time limits from the settings file and the fake store, with a margin for a busy machine.
 constexpr milliseconds drainTimeout { 3000 };
 constexpr milliseconds configurationTimeout { 3500 };
 constexpr seconds stopTimeout { 5 };
 constexpr seconds recoveryTimeout { 15 };
-/// From the moment at which a server answers an entry that it leaves; the answer may be delayed on its way.
+/// Counted from the time at which a server reports to an entry that it is leaving; the response may be delayed in transit.
 constexpr milliseconds leaveTimeout { 2500 };
-/// A client that was not served comes back after this long.
+/// A client that was not served sends its next request after this delay.
 constexpr milliseconds retryDelay { 40 };
 
-/// One connection of a client, used until it breaks.
+/// Client with one persistent connection, which is used until it fails.
 class PersistentClient {
 public:
     explicit PersistentClient(const std::string& address)
@@ -36,7 +36,7 @@
     {
     }
 
-    /// Sends the request and reads what comes. Fills `status`, `body` and `isWhole`.
+    /// Sends the request and reads the response. Sets `status`, `body` and `isComplete`.
     void exchange(Outcome& outcome)
     {
         m_io.restart();
@@ -72,7 +72,7 @@
             outcome.isComplete = true;
             isKept = parser.get().keep_alive();
         } catch (const boost::system::system_error&) {
-            // What came is judged as it is.
+            // The part that was received is checked.
         }
         if (parser.is_header_done()) {
             outcome.status = parser.get().result_int();
@@ -108,8 +108,8 @@
     }
     auto loopback = [](int port) { return fmt::format("127.0.0.1:{}", port); };
     auto firstPeers = loopback(process_test::freePort());
-    // Entries of one machine can't share the port for news of load: each has an address of its own in the loopback net. The
-    // port is one that is free now: two soaks at a time on a fixed one kept each other's entries from starting.
+    // Entries on one machine can't share the port for load updates, so each has its own address in the loopback network. The
+    // port is a free one: with a fixed port, two simultaneous soak tests kept each other's entries from starting.
     auto loadPort = process_test::freePort();
     for (std::size_t n = 0; n < m_entries.size(); ++n) {
         auto& entry = m_entries[n];
@@ -159,7 +159,7 @@
     for (int n = 0; !m_isStopped; ++n) {
         Outcome outcome;
         outcome.kind = kinds[pick(random, 0, 2)];
-        // Now and then a client goes on with a key that was valid when it began.
+        // Some requests use the key that was valid when the client started.
         outcome.key = pick(random, 0, 9) == 0 ? oldKey : currentKey();
         outcome.sentAt = Clock::now();
         auto entry = static_cast<std::size_t>(pick(random, 0, static_cast<int>(clients.size()) - 1));
@@ -181,7 +181,7 @@
     process.terminate();
     auto status = process.waitForExit(Clock::now() + stopTimeout + seconds(2));
     if (status != 0)
-        m_violations.push_back(fmt::format("entry {} was told to stop and ended with {}, expected 0 within {} s", index, status ? *status : -1, stopTimeout.count()));
+        m_violations.push_back(fmt::format("entry {} was stopped and ended with status {}, expected 0 within {} s", index, status ? *status : -1, stopTimeout.count()));
 }
 
 void Soak::injectEntryFault(std::mt19937_64& random)
@@ -215,7 +215,7 @@
     Span span { Clock::now(), {} };
     auto& relay = *m_entries[static_cast<std::size_t>(pick(random, 0, m_options.entries - 1))].store;
     auto kind = pick(random, 0, 5);
-    recordEvent(fmt::format("store disturbed, kind {}", kind));
+    recordEvent(fmt::format("store fault, kind {}", kind));
     if (kind == 5)
         return restoreOldStore(random);
     if (kind == 0)
@@ -228,7 +228,7 @@
         relay.setRefusing(true);
     else
         relay.setDelay(milliseconds(pick(random, 20, 200)));
-    // A configuration comes just then, and with it a key goes.
+    // Publish a configuration during the fault, which revokes a key.
     if (pick(random, 0, 1) == 0) {
         std::scoped_lock lock(m_mutex);
         m_revokedAt[m_key] = Clock::now();
@@ -244,21 +244,21 @@
     m_storeFaults.push_back(span);
 }
 
-/// The store is away for a moment and comes back from a copy some seconds old.
+/// The store is unreachable for a moment and is restored from a copy that is some seconds old.
 void Soak::restoreOldStore(std::mt19937_64& random)
 {
     auto copy = m_platform.copyStore();
     std::this_thread::sleep_for(milliseconds(pick(random, 200, 3000)));
     Span span { Clock::now(), {} };
     m_platform.setStoreMode(StoreMode::Silent);
-    // One that leaves now can say so itself only.
+    // A server that leaves now can report it only in its own responses.
     if (pick(random, 0, 1) == 0)
         m_platform.leave(static_cast<std::size_t>(pick(random, 0, m_options.servers - 1)));
     std::this_thread::sleep_for(milliseconds(pick(random, 0, 1000)));
     constexpr milliseconds expireAfter { 3000 };
     m_platform.restoreStore(*copy, milliseconds(pick(random, 0, 1000)), expireAfter);
     m_platform.setStoreMode(StoreMode::Normal);
-    recordEvent("store is back from a copy");
+    recordEvent("store restored from a copy");
     span.end = Clock::now() + expireAfter;
     std::scoped_lock lock(m_mutex);
     m_storeFaults.push_back(span);
@@ -268,7 +268,7 @@
 {
     auto index = static_cast<std::size_t>(pick(random, 0, m_options.servers - 1));
     auto kind = pick(random, 0, 8);
-    recordEvent(fmt::format("server {} disturbed, kind {}", index, kind));
+    recordEvent(fmt::format("server {} fault, kind {}", index, kind));
     if (kind < 4) {
         constexpr ServerMode modes[] = { ServerMode::DroppingResponses, ServerMode::Full, ServerMode::TruncatingStreams, ServerMode::StrayResponses };
         m_platform.setServerMode(index, modes[kind]);
@@ -288,26 +288,26 @@
         m_platform.leave(index);
 }
 
-/// A server names a limit, and another one a while later.
+/// A server advertises a limit, and another limit some time later.
 void Soak::injectLimit(std::mt19937_64& random)
 {
     auto index = static_cast<std::size_t>(pick(random, 0, m_options.servers - 1));
     for (int n = 0; n < 2; ++n) {
         auto rate = 0.5 * pick(random, 0, 8);
-        recordEvent(fmt::format("server {} limited to {} a second", index, rate));
+        recordEvent(fmt::format("server {} limited to {} requests per second", index, rate));
         m_platform.setLimit(index, rate);
         std::this_thread::sleep_for(milliseconds(pick(random, 500, 5000)));
     }
     m_platform.setLimit(index, std::nullopt);
 }
 
-/// A server turns requests away and asks for rest, or all of them do.
+/// One server, or every server, rejects requests and asks for a back-off.
 void Soak::injectBackOff(std::mt19937_64& random)
 {
     bool isEveryServer = pick(random, 0, 3) == 0;
     auto only = static_cast<std::size_t>(pick(random, 0, m_options.servers - 1));
     auto backOff = milliseconds(pick(random, 0, 30) * 100);
-    recordEvent(fmt::format("{} turns requests away and asks for {} ms of rest", isEveryServer ? "every server" : fmt::format("server {}", only), backOff.count()));
+    recordEvent(fmt::format("{} rejects requests and asks for a back-off of {} ms", isEveryServer ? "every server" : fmt::format("server {}", only), backOff.count()));
     auto applyBackOff = [&](std::optional<milliseconds> time) {
         for (std::size_t n = 0; n < m_platform.servers(); ++n) {
             if (isEveryServer || n == only)
@@ -339,12 +339,12 @@
     for (std::size_t n = 0; n < m_entries.size(); ++n)
         startEntry(n);
     if (!waitUntilServing())
-        return { "the entries did not begin to serve" };
+        return { "the entries did not start to serve" };
     std::vector<std::thread> clients;
     clients.reserve(static_cast<std::size_t>(m_options.clients));
     for (int n = 0; n < m_options.clients; ++n)
         clients.emplace_back([this, n] { clientLoop(m_options.seed * 1000 + static_cast<std::uint64_t>(n)); });
-    // Two at a time, so that faults overlap.
+    // Several fault threads run at the same time, so that faults overlap.
     auto end = Clock::now() + m_options.length;
     auto injectUntilEnd = [&](std::uint64_t seed, void (Soak::*fault)(std::mt19937_64&)) {
         std::mt19937_64 random(seed);
@@ -362,9 +362,9 @@
     third.join();
     fourth.join();
     fifth.join();
-    recordEvent("calm");
+    recordEvent("no more faults");
     if (!waitUntilServing())
-        m_violations.push_back(fmt::format("{} s after all faults had ended entries did not answer 200:{}", recoveryTimeout.count(), m_notServing));
+        m_violations.push_back(fmt::format("{} s after the last fault these entries did not return status 200:{}", recoveryTimeout.count(), m_notServing));
     m_isStopped = true;
     for (auto& client : clients)
         client.join();
@@ -390,7 +390,7 @@
         report(fmt::format("ran {} times, expected once at most", runs.size()));
     bool isPromisedNotRun = outcome.status == 503 || outcome.status == 429 || outcome.status == 401;
     if (isPromisedNotRun && !runs.empty())
-        report(fmt::format("was answered {} and ran at {}, expected no run", outcome.status, runs.front().server));
+        report(fmt::format("got status {} and ran at {}, expected no run", outcome.status, runs.front().server));
     for (auto& run : runs) {
         if (run.organisation != "org-" + outcome.key)
             report(fmt::format("ran for '{}', expected 'org-{}'", run.organisation, outcome.key));
@@ -408,7 +408,7 @@
     auto expected = outcome.kind == "stream" ? FakePlatform::completeStream(outcome.id) : FakePlatform::plainBody(outcome.id);
     bool isExpected = outcome.isComplete ? outcome.body == expected : expected.starts_with(outcome.body);
     if (!isExpected)
-        violations.push_back(fmt::format("{} request {}: a {} answer was '{}', expected '{}'", outcome.kind, outcome.id, outcome.isComplete ? "whole" : "cut", outcome.body, expected));
+        violations.push_back(fmt::format("{} request {}: a {} response was '{}', expected '{}'", outcome.kind, outcome.id, outcome.isComplete ? "complete" : "truncated", outcome.body, expected));
 }
 
 void Soak::checkDrains(std::vector<std::string>& violations) const
@@ -419,17 +419,17 @@
             auto it = drained.find(run.server);
             if (it == drained.end() || run.at <= it->second + drainTimeout || wasStoreFaulty(it->second, run.at))
                 continue;
-            violations.push_back(fmt::format("request {} reached {} {} ms after it was told to go", id, run.server, std::chrono::duration_cast<milliseconds>(run.at - it->second).count()));
+            violations.push_back(fmt::format("request {} reached {} {} ms after the server was listed as draining or removed", id, run.server, std::chrono::duration_cast<milliseconds>(run.at - it->second).count()));
         }
     }
 }
 
-/// The list's silence and the store's returns excuse nothing here.
+/// Late requests are violations here even while the store is unreachable or restored.
 void Soak::checkLeaving(const Outcome& outcome, const std::vector<Run>& runs, std::vector<std::string>& violations) const
 {
     for (auto& run : runs) {
         if (run.leavingAnnouncedAt && outcome.sentAt > *run.leavingAnnouncedAt + leaveTimeout)
-            violations.push_back(fmt::format("request {} reached {} {} ms after the entry had been told there that it leaves", outcome.id, run.server,
+            violations.push_back(fmt::format("request {} reached {} {} ms after the server had reported to the entry that it is leaving", outcome.id, run.server,
                 std::chrono::duration_cast<milliseconds>(run.at - *run.leavingAnnouncedAt).count()));
     }
 }
@@ -447,7 +447,7 @@
     auto limits = m_platform.violations();
     violations.insert(violations.end(), limits.begin(), limits.end());
     if (served() * 4 < m_outcomes.size())
-        violations.push_back(fmt::format("{} of {} requests were served, expected a quarter at least", served(), m_outcomes.size()));
+        violations.push_back(fmt::format("{} of {} requests were served, expected at least a quarter", served(), m_outcomes.size()));
     return violations;
 }
 
--- a/test/soak/soak.h
+++ b/test/soak/soak.h
@@ -13,9 +13,9 @@
 #include <thread>
 #include <vector>
 
-/// A randomized soak of real entries against the users' platform: processes are stopped, paused, killed and restarted,
-/// connections delayed, cut and silenced, the store and the servers misbehave, all from a seed. What callers and backend
-/// servers saw is checked at the end.
+/// Randomized soak test of real entries against the fake platform. Processes are stopped, paused, killed and restarted,
+/// connections are delayed, cut and silenced, and the store and the servers fail, all derived from a seed. What clients and
+/// backend servers observed is checked at the end.
 namespace swiftloft::soak {
 
 struct SoakOptions {
@@ -27,14 +27,14 @@
     std::string program;
 };
 
-/// What a caller saw of one request.
+/// What a client observed of one request.
 struct Outcome {
     std::string id;
     /// "stream", "once" or "safe".
     std::string kind;
     std::string key;
     TimePoint sentAt;
-    /// 0 when no answer came.
+    /// HTTP status; 0 if no response was received.
     unsigned status { 0 };
     bool isComplete { false };
     std::string body;
@@ -45,9 +45,9 @@
     explicit Soak(const SoakOptions& options);
     ~Soak();
 
-    /// Runs it; returns what was broken, empty when nothing was.
+    /// Runs the test. Returns the violated guarantees; empty if there are none.
     std::vector<std::string> run();
-    /// What was done when, for a trace.
+    /// Trace of the injected faults, with their times.
     const std::vector<std::string>& events() const { return m_events; }
     std::size_t requests() const { return m_outcomes.size(); }
     std::size_t served() const;
@@ -95,11 +95,11 @@
     std::vector<Outcome> m_outcomes;
     std::vector<std::string> m_events;
     std::string m_key;
-    /// When each key ceased to be valid.
+    /// When each key was revoked.
     std::map<std::string, TimePoint> m_revokedAt;
     std::vector<Span> m_storeFaults;
     std::vector<std::string> m_violations;
-    /// Entries that did not answer when all were asked last, with the status and the first line of what came.
+    /// Entries that did not serve the last probe, with the status and the first line of the response.
     std::string m_notServing;
     TimePoint m_startedAt;
     int m_lastKey { 0 };
