--- a/include/swiftloft/policy/admission-queue.h
+++ b/include/swiftloft/policy/admission-queue.h
@@ -15,11 +15,11 @@
 
 namespace swiftloft::policy {
 
-/// Names a waiting or running request inside one `AdmissionQueue`; the caller numbers them.
+/// Identifies a queued or running request within one `AdmissionQueue`. The caller assigns the ids.
 using AdmissionId = Strong<struct AdmissionIdTag, std::uint64_t>;
 
-/// Order among the requests of one organisation. It does not reach across organisations: whoever marked all its
-/// requests urgent would otherwise take the others' share.
+/// Priority among the requests of one organisation. Priorities are not compared across organisations: an organisation
+/// that marked all its requests as high priority would otherwise take the share of the others.
 enum class Priority : std::uint8_t {
     High,
     Normal,
@@ -28,16 +28,17 @@
 constexpr std::size_t priorityCount = 3;
 
 struct AdmissionOptions {
-    /// Tokens of work in flight up to which requests are started.
+    /// Requests are started while the work in flight stays within this number of tokens.
     Tokens capacity { 100000 };
-    /// Requests in flight up to which further ones are started: the engines' batch slots. Tokens alone do not bound
-    /// them: under overload short requests are the ones in time, and more of them fit than the engines batch.
+    /// Maximum number of requests in flight, normally the number of batch slots of the engines. The token limit alone
+    /// does not bound this number: under overload, mostly short requests can still meet their deadlines, and more of
+    /// them fit into the token capacity than the engines can batch.
     std::size_t maximumInFlight { 1024 };
     std::size_t maximumQueued { 4096 };
-    /// Work done a second, assumed until it has been measured.
+    /// Throughput assumed until it has been measured.
     double initialTokensPerSecond { 10000 };
-    /// A request is refused when its expected wait exceeds this share of the time it can wait: the estimate errs, and
-    /// a request that starts at the last moment ends after its deadline.
+    /// A request is refused when its expected wait exceeds this fraction of the time until its latest start. The margin
+    /// covers errors of the estimate; a request that starts at the last moment also tends to finish after its deadline.
     double waitMargin { 0.8 };
     RetryAfterOptions retryAfter;
 };
@@ -46,18 +47,18 @@
     AdmissionId id;
     OrganisationName organisation;
     Priority priority { Priority::Normal };
-    /// Estimated work: prompt and expected output.
+    /// Estimated work: prompt tokens and expected output tokens.
     Tokens cost;
-    /// Last moment at which starting still makes the deadline: deadline less expected service time.
+    /// Latest start time that still meets the deadline: the deadline minus the expected service time.
     TimePoint latestStart;
 };
 
 enum class AdmissionReason {
-    /// Would wait longer than its deadline allows.
+    /// The expected wait is longer than the deadline allows.
     WaitTooLong,
-    /// Waited until its deadline could not be met any more.
+    /// The request was queued until its deadline could no longer be met.
     Expired,
-    /// The queue is full and the organisation holds the largest part of it for its weight.
+    /// The queue is full and this organisation has the largest backlog relative to its weight.
     QueueFull,
 };
 
@@ -65,7 +66,8 @@
 
 enum class AdmissionAction {
     Start,
-    /// Answer at once with `retryAfter`. This attempt has not run; the verdict of a resend also depends on earlier ones.
+    /// Respond immediately with `retryAfter`. This attempt has not run, but the verdict of a resend also depends on the
+    /// earlier attempts.
     Refuse,
 };
 
@@ -78,12 +80,13 @@
 
 using AdmissionEffects = boost::container::small_vector<AdmissionEffect, 4>;
 
-/// Holds requests back while the backend servers of a service are full, and divides the room fairly.
+/// Queues requests while the backend servers of a service are at capacity, and shares the capacity fairly.
 ///
-/// Start-time fair queueing between organisations: each start moves its organisation's tag on by cost / weight, and the
-/// organisation with the least tag goes next. One that asks for three times its share waits behind itself. Requests
-/// that cannot make their deadline are refused on arrival, so the room goes to work that is still of use. Each event
-/// costs O(log n) of the waiting requests and organisations.
+/// Uses start-time fair queueing between organisations: each start advances the tag of its organisation by cost /
+/// weight, and the organisation with the smallest tag is served next. An organisation that requests three times its
+/// share is delayed only by its own requests. A request that cannot meet its deadline is refused on arrival, so that
+/// capacity goes to work whose result is still needed. Each event costs O(log n) in the number of queued requests and
+/// organisations.
 class AdmissionQueue {
 public:
     static Result<AdmissionQueue> create(AdmissionOptions options);
@@ -92,23 +95,24 @@
     ~AdmissionQueue();
 
     AdmissionEffects onArrive(const AdmissionRequest& request, TimePoint now, Generator& generator);
-    /// A started request has ended; `cost` is the one it was started with.
+    /// A started request has ended. `cost` is the cost with which it was started.
     AdmissionEffects onFinish(Tokens cost, TimePoint now, Generator& generator);
-    /// The client of a waiting request has gone away. Nothing to answer.
+    /// The client of a queued request has disconnected. The request is removed and needs no response.
     void onAbandon(AdmissionId id);
-    /// Refuses the waiting requests whose last moment has passed.
+    /// Refuses the queued requests whose latest start time has passed.
     AdmissionEffects onTimer(TimePoint now, Generator& generator);
-    /// When to call `onTimer`; nothing when no request waits.
+    /// Time at which to call `onTimer`, or nothing when no request is queued.
     std::optional<TimePoint> nextTimer() const;
 
     AdmissionEffects setCapacity(Tokens capacity, TimePoint now, Generator& generator);
     AdmissionEffects setMaximumInFlight(std::size_t maximum, TimePoint now, Generator& generator);
-    /// Weight 1 until set. Weights at or below zero count as the smallest allowed one.
+    /// Sets the weight of an organisation; the default is 1. Weights that are too small, zero or negative are raised to
+    /// the minimum weight.
     void setWeight(const OrganisationName& organisation, double weight);
-    /// Drops an organisation that left the settings, once it has nothing waiting.
+    /// Removes an organisation that is no longer in the settings, unless it has queued requests.
     void removeOrganisation(const OrganisationName& organisation);
 
-    /// How long a request of the organisation would wait now.
+    /// Expected wait of a request of the organisation that arrives now.
     microseconds expectedWait(const OrganisationName& organisation, Priority priority) const;
     std::size_t queued() const;
     Tokens inFlight() const;
--- a/include/swiftloft/policy/backoff.h
+++ b/include/swiftloft/policy/backoff.h
@@ -7,22 +7,23 @@
 namespace swiftloft::policy {
 
 struct BackoffOptions {
-    /// Upper end of the first delay.
+    /// Upper bound of the first delay.
     milliseconds initial { 20 };
-    /// Each further delay is up to this many times the one before.
+    /// Factor by which the upper bound grows after each failure.
     double multiplier { 2 };
-    /// No delay is longer.
+    /// Maximum delay.
     milliseconds ceiling { 2000 };
 };
 
-/// Exponential backoff with jitter: the delay before attempt n is drawn evenly from the upper half of
-/// `initial * multiplier^(n-1)`, so that callers that failed together do not come back together.
+/// Exponential back-off with jitter. The delay before attempt n is drawn uniformly from the upper half of
+/// `initial * multiplier^(n-1)`, so that callers that failed at the same time do not retry at the same time.
 class Backoff {
 public:
-    /// Fails with `InvalidArgument` when a delay is not positive or the multiplier is below one.
+    /// Fails with `InvalidArgument` when a delay is not positive, the ceiling is below the initial delay or the
+    /// multiplier is below one.
     static Result<Backoff> create(BackoffOptions options);
 
-    /// When the next attempt may start after `failures` failed ones (1 or more).
+    /// Earliest start of the next attempt after `failures` failed ones (1 or more).
     TimePoint nextAttempt(unsigned failures, TimePoint now, Generator& generator) const;
 
 private:
@@ -34,12 +35,14 @@
 struct RetryAfterOptions {
     seconds minimum { 1 };
     seconds maximum { 60 };
-    /// The answer is drawn from the estimate up to the estimate times one plus this.
+    /// Maximum jitter as a fraction of the estimate: the result is drawn between the estimate and the estimate times
+    /// `1 + jitter`.
     double jitter { 0.5 };
 };
 
-/// Whole seconds for a `Retry-After` header: from `now` until `expectedFree`, never less, plus jitter so that refused
-/// clients spread out. The one duration that leaves the policy, since the header carries durations.
+/// Value of a `Retry-After` header in whole seconds: the time from `now` until `expectedFree`, never rounded down, plus
+/// jitter that spreads out the refused clients, clamped to the minimum and maximum of `options`. The policy library
+/// otherwise returns time points; this is a duration because the header carries one.
 seconds retryAfter(const RetryAfterOptions& options, TimePoint expectedFree, TimePoint now, Generator& generator);
 
 } // namespace swiftloft::policy
--- a/include/swiftloft/policy/claim-protocol.h
+++ b/include/swiftloft/policy/claim-protocol.h
@@ -11,11 +11,12 @@
 
 enum class ClaimEffectKind {
     SendClaim,
-    /// Best effort: a claim whose release is lost ends by itself.
+    /// Best effort: when the release message is lost, the claim expires by itself.
     SendRelease,
-    /// Hand the request to the agent, naming the claim and the incarnation that granted it.
+    /// Send the request to the agent, with the claim and the incarnation that granted it.
     SendRun,
-    /// The key runs or ran at this agent: fetch the answer there. If it knows nothing, answer may-have-run.
+    /// The key is running or has run at this agent: fetch the response there. If the agent does not know the key,
+    /// answer the client with may-have-run.
     Attach,
     Refuse,
 };
@@ -44,26 +45,28 @@
 
 using ClaimEffects = std::vector<ClaimEffect>;
 
-/// One entry's attempt to run a request that carries only a client's own key.
+/// One entry's attempt to run a request that carries only a key chosen by the client.
 ///
-/// Claims at every home, the runner first, one after the other, and runs only when all have granted. Two attempts whose
-/// homes have one agent in common can't both get all grants, and an agent that restarted refuses; so the key runs at
-/// most once although the entries' lists differ. The runner comes first because its claim must not outlive the others:
-/// an entry that pauses between claims finds the runner's claim ended and the run refused.
+/// The protocol claims the key at each home in turn, starting with the runner, and runs the request only when all homes
+/// have granted the claim. Two attempts whose homes have one agent in common cannot both get all grants, and a
+/// restarted agent refuses; so the key runs at most once even though the entries' instance lists differ. The runner
+/// comes first because its claim must not outlive the other claims: when an entry pauses between claims, the runner's
+/// claim expires first and the run is refused.
 ///
-/// No refusal here says not-run: the entry does not know the key's history at homes it did not ask.
+/// A refusal here never says not-run, because the entry does not know the key's history at the homes that it did not
+/// contact.
 class ClaimProtocol {
 public:
-    /// `homes` as `RequestHome::homesOf` gives them.
+    /// `homes` is the result of `HomeSelector::homesOf`.
     ClaimProtocol(ClaimRequest request, std::vector<BackendServerId> homes);
 
     ClaimEffects start();
     ClaimEffects onReply(const BackendServerId& from, const ClaimReply& reply);
-    /// The agent can't be reached, or did not answer in time.
+    /// The agent is unreachable or did not reply in time.
     ClaimEffects onUnreachable(const BackendServerId& agent);
     ClaimEffects onRunAnswer(RunAnswer answer);
 
-    /// The message that `SendClaim` stands for.
+    /// The claim request that `SendClaim` sends.
     const ClaimRequest& request() const { return m_request; }
     bool isDone() const { return m_state == State::Done; }
 
--- a/include/swiftloft/policy/claim-table.h
+++ b/include/swiftloft/policy/claim-table.h
@@ -12,37 +12,40 @@
 namespace swiftloft::policy {
 
 struct ClaimTableOptions {
-    /// How long after its first use a key is kept from running again. What the service promises its clients.
+    /// Minimum time after its first use during which a key is not run again. The service guarantees this time to its
+    /// clients.
     seconds retention { 600 };
-    /// How long a granted claim may wait for its run.
+    /// Time within which the run of a granted claim must start.
     milliseconds claimLease { 10000 };
-    /// How long a list may have been replaced, as this agent knows, and still be claimed under.
+    /// Time for which claims under a replaced instance list are still accepted, counted from when this agent learned of
+    /// the newer list.
     milliseconds staleListTolerance { 5000 };
     std::size_t capacity { 65536 };
-    /// Refuse claims until nothing that a predecessor granted can matter any more. Off only where it is known that
-    /// there was none: on the first start of a fleet.
+    /// Refuse claims after the start until every key that a previous incarnation may have granted or run has expired.
+    /// Switched off only when no previous incarnation can have existed, as at the first start of a fleet.
     bool hasStartupGracePeriod { true };
 };
 
-/// An agent's memory of client keys: who holds each, and what became of it.
+/// An agent's record of client keys: which claim holds each key, and the outcome of its run.
 ///
-/// The agent grants a key to one claim at a time and runs it only for the claim it granted. Keys are never dropped for
-/// lack of room: a full desk refuses.
+/// The agent grants a key to one claim at a time and runs it only for the claim it granted. Keys are never evicted to
+/// make room: a full table refuses new claims.
 class ClaimTable {
 public:
     static Result<ClaimTable> create(ClaimTableOptions options, Incarnation self, TimePoint now);
 
-    /// The agent learned of an instance list, from the platform or from a peer.
+    /// The agent learned of an instance list revision, from the platform or from a peer.
     void onListRevision(ListRevision revision, TimePoint now);
     ClaimReply onClaim(const ClaimRequest& request, TimePoint now);
-    /// The claiming entry gives up before it ran the request.
+    /// The claiming entry releases its claim before it has run the request.
     void onRelease(const ClientKey& key, const ClaimId& claim);
-    /// `incarnation` is the one that granted the claim, as the entry heard it.
+    /// Asks to run the key. `incarnation` is the agent incarnation that granted the claim, as reported to the entry in
+    /// `ClaimReply`.
     RunAnswer onRun(const ClientKey& key, const ClaimId& claim, Incarnation incarnation, TimePoint now);
     void onFinish(const ClientKey& key, Verdict verdict, TimePoint now);
-    /// What is known of a key, for an entry that attaches: nothing when it did not run here.
+    /// Outcome of a key, for an entry that attaches to its run; nothing when the key did not run here.
     std::optional<Verdict> outcomeOf(const ClientKey& key) const;
-    /// Drops keys whose time has passed.
+    /// Removes expired keys.
     void tick(TimePoint now);
 
     std::size_t size() const { return m_records.size(); }
@@ -77,7 +80,7 @@
     ClaimTableOptions m_options;
     Incarnation m_self;
     TimePoint m_gracePeriodEndsAt;
-    /// Rising revisions; the last is the newest known.
+    /// In order of increasing revision.
     std::deque<KnownList> m_lists;
     std::unordered_map<ClientKey, Record> m_records;
     std::deque<Expiry> m_expiries;
--- a/include/swiftloft/policy/claim.h
+++ b/include/swiftloft/policy/claim.h
@@ -8,10 +8,10 @@
 
 namespace swiftloft::policy {
 
-/// Order of the published instance lists.
+/// Revision of the published instance list; later lists have higher revisions.
 using ListRevision = Strong<struct ListRevisionTag, std::uint64_t>;
 
-/// A key that a client brought itself. Equal keys of two organisations are two requests.
+/// A request key chosen by the client. Equal keys of two organisations denote different requests.
 struct ClientKey {
     OrganisationName organisation;
     RequestKey key;
@@ -19,7 +19,7 @@
     friend auto operator<=>(const ClientKey&, const ClientKey&) = default;
 };
 
-/// One attempt of one entry to become the only one that runs a key. Never used again.
+/// Identifies one attempt of one entry to claim a key. Ids are never reused.
 struct ClaimId {
     Incarnation entry;
     std::uint64_t serial { 0 };
@@ -30,19 +30,19 @@
 struct ClaimRequest {
     ClientKey key;
     ClaimId claim;
-    /// The instance list under which the entry worked out the key's homes.
+    /// Revision of the instance list from which the entry computed the key's homes.
     ListRevision revision;
-    /// The agent that will run the request once all homes have granted.
+    /// The agent that runs the request once all homes have granted the claim.
     BackendServerId runner;
 };
 
 enum class ClaimAnswer {
     Granted,
-    /// Another claim holds the key; `ClaimReply::runner` runs it or will.
+    /// Another claim holds the key. `ClaimReply::runner` is the agent that runs it or will run it.
     Held,
-    /// The entry's list is too old; `ClaimReply::revision` is a newer one.
+    /// The entry's instance list is too old. `ClaimReply::revision` is a newer revision.
     StaleList,
-    /// This incarnation is too young to know what its predecessor granted.
+    /// This incarnation started too recently to know which claims the previous incarnation granted.
     TooYoung,
     Full,
 };
@@ -59,7 +59,7 @@
     Run,
     AlreadyRunning,
     AlreadyFinished,
-    /// The claim is not held here, or not any more.
+    /// This agent does not hold the claim, or the claim has expired.
     NotClaimed,
 };
 
--- a/include/swiftloft/policy/crash-quarantine.h
+++ b/include/swiftloft/policy/crash-quarantine.h
@@ -15,31 +15,33 @@
 
 namespace swiftloft::policy {
 
-/// Names one crash of one backend server; from `crashIdOf`.
+/// Identifies one crash of one backend server; computed by `crashIdOf`.
 using CrashId = Strong<struct CrashIdTag, std::uint64_t>;
 
-/// `count` numbers the crashes that this agent incarnation has seen of its engine.
+/// Computes the id of a crash. `count` is the number of engine crashes that this agent incarnation has observed so far.
 CrashId crashIdOf(const BackendServerId& server, Incarnation agent, std::uint64_t count);
 
-/// The server that runs a suspect: the same at every entry that sees the same candidates, so that all copies of one
-/// suspect meet at one agent, which runs one at a time. Linear in the candidates; suspects are rare.
+/// Selects the server that runs a suspect request in isolation. All entries with the same candidates select the same
+/// server, so that all copies of a suspect reach one agent, which runs them one at a time. Linear in the number of
+/// candidates; suspects are rare.
 std::optional<BackendServerId> isolationServer(Fingerprint fingerprint, std::span<const BackendServerId> candidates);
 
-/// What was in flight on a backend server when it crashed.
+/// The requests that were in flight on a backend server when it crashed.
 struct CrashReport {
     CrashId crash;
     std::vector<Fingerprint> inFlight;
 };
 
-/// News of one fingerprint and one crash, small enough to be spread to every entry and agent.
+/// Suspicion of one fingerprint for one crash. Small enough to be propagated to every entry and agent.
 struct SuspicionMessage {
     Fingerprint fingerprint;
     CrashId crash;
-    /// The fingerprint has ended well elsewhere since, so it did not cause this crash.
+    /// A request with this fingerprint has since succeeded on another server, so it did not cause this crash.
     bool isCleared { false };
-    /// Life left at sending; no common clock exists, so each receiver stores its own time point.
+    /// Time to expiry when the message was sent. Nodes have no common clock, so each receiver converts it to its own
+    /// time point.
     milliseconds remaining { 0 };
-    /// Nodes this news has passed through.
+    /// Number of nodes that have forwarded this suspicion.
     std::uint32_t hops { 0 };
 
     friend bool operator==(const SuspicionMessage&, const SuspicionMessage&) = default;
@@ -47,11 +49,13 @@
 
 enum class QuarantineAction {
     Admit,
-    /// A suspect: send it to `suspectServer`, alone.
+    /// The request is a suspect: send it to `isolationServer`, which runs it alone.
     RunAlone,
-    /// A suspect of which a copy is running: refuse for now. This attempt has not run; a resend's earlier ones may have.
+    /// The request is a suspect and a copy of it is running: refuse for now. This attempt has not run; earlier attempts
+    /// of a resend may have.
     Wait,
-    /// Convicted: refuse until `until`. This attempt has not run; a resend's earlier ones may have.
+    /// The request is quarantined: refuse it until `until`. This attempt has not run; earlier attempts of a resend may
+    /// have.
     Refuse,
 };
 
@@ -63,37 +67,39 @@
 };
 
 struct CrashQuarantineOptions {
-    /// How long one crash keeps its suspects; a second crash within that time convicts.
+    /// Time for which a request is a suspect after one crash; a second crash within this time quarantines it.
     seconds suspicionPeriod { 600 };
     seconds quarantinePeriod { 3600 };
     std::size_t capacity { 4096 };
-    /// News that has passed through more nodes is dropped. Far more than any spread needs.
+    /// Messages that have been forwarded more often are dropped. Well above the number of hops that any propagation
+    /// needs.
     std::uint32_t maximumHops { 16 };
 };
 
-/// Finds the request that crashes whatever runs it, at entries and, as the second line, at agents.
+/// Detects requests that crash the servers that run them. Used by entries and, as a second line of defence, by agents.
 ///
-/// All that was in flight at a crash is suspect. A suspect runs alone; ending well clears it, so innocent neighbours
-/// are released. Two crashes that were not cleared convict. The state is a set of (fingerprint, crash, cleared), so
-/// messages may come doubled, late and in any order: every node that has the same messages decides alike.
+/// All requests in flight at a crash become suspects. A suspect runs alone; when it succeeds, it is cleared, which
+/// releases requests that merely ran beside the cause. Two crashes that were not cleared quarantine a request. The
+/// state is a set of (fingerprint, crash, cleared) tuples, so messages may be duplicated, delayed and reordered: all
+/// nodes that have received the same messages make the same decisions.
 class CrashQuarantine {
 public:
     static Result<CrashQuarantine> create(CrashQuarantineOptions options);
 
-    /// True when nothing is suspect: no fingerprint needs to be computed.
+    /// True when there are no suspects, so that no fingerprint needs to be computed.
     bool empty() const { return m_records.empty(); }
     QuarantineDecision check(Fingerprint fingerprint, TimePoint now) const;
-    /// A run that `check` answered with `RunAlone` begins; call `onEnd` after it, whatever its outcome.
+    /// A run for which `check` returned `RunAlone` starts. Call `onEndAlone` when it ends, whatever its outcome.
     void onStartAlone(Fingerprint fingerprint);
     void onEndAlone(Fingerprint fingerprint);
-    /// Any run has ended well. Returns the news to spread.
+    /// A run has succeeded. Returns the messages to propagate.
     std::vector<SuspicionMessage> onSuccess(Fingerprint fingerprint, TimePoint now);
     std::vector<SuspicionMessage> onCrash(const CrashReport& report, TimePoint now);
-    /// True when the message was news and is to be spread further.
+    /// Returns true when the message contained new information and must be propagated further.
     bool onMessage(const SuspicionMessage& message, TimePoint now);
-    /// Everything known, for a node that has just joined.
+    /// All current suspicions, for a node that has just joined.
     std::vector<SuspicionMessage> snapshot(TimePoint now) const;
-    /// Drops what has expired.
+    /// Removes expired records.
     void tick(TimePoint now);
 
     std::size_t size() const { return m_records.size(); }
--- a/include/swiftloft/policy/dedup-table.h
+++ b/include/swiftloft/policy/dedup-table.h
@@ -14,28 +14,28 @@
 namespace swiftloft::policy {
 
 struct DedupTableOptions {
-    /// Most tickets remembered.
+    /// Maximum number of tickets in the table.
     std::size_t capacity { 65536 };
-    /// Length of an epoch, and how many epochs after its own a ticket stays acceptable.
+    /// Length of an epoch, and the number of epochs after its own for which a ticket is accepted.
     seconds epochLength { 60 };
     std::uint64_t epochsKept { 10 };
 };
 
 enum class StartAnswer {
-    /// The ticket is new and now counts as running.
+    /// The ticket is new and is now recorded as running.
     Run,
-    /// Attach to the run in progress.
+    /// The request is running: attach to the run in progress.
     AlreadyRunning,
     AlreadyFinished,
-    /// It was cancelled before it ran and never will run.
+    /// The request was cancelled before it ran, and will never run.
     Cancelled,
-    /// The ticket names another agent or another incarnation of this one, whose memory is gone.
+    /// The ticket names another agent, or another incarnation of this agent, whose table is lost.
     OtherIncarnation,
-    /// Older than the horizon: what was known of it has been dropped.
+    /// The ticket is older than the horizon, and its record has been dropped.
     TooOld,
-    /// From an epoch this agent has not reached: damaged or forged.
+    /// The ticket is from an epoch that this agent has not reached, so it is damaged or forged.
     NotYetMinted,
-    /// No room, and nothing that may be dropped. It may be sent again to this agent.
+    /// The table is full and no record may be dropped. The request may be sent to this agent again.
     Full,
 };
 
@@ -43,34 +43,35 @@
 
 struct StartResult {
     StartAnswer answer { StartAnswer::Full };
-    /// Verdict for the client if nothing else is known of the request.
+    /// Verdict for the client when nothing else is known about the request.
     Verdict verdict { Verdict::MayHaveRun };
 };
 
-/// What one agent incarnation remembers of tickets, so that each runs at most once here.
+/// Records the tickets of one agent incarnation, so that each runs at most once there.
 ///
-/// Guards against late and doubled copies: a request waits in a socket's buffer for minutes, was answered from another
-/// copy, and then arrives. Memory is bounded, so old tickets must be dropped; a dropped ticket must not run again. The
-/// agent counts epochs, tickets carry the epoch of their minting, and a ticket is dropped only when the horizon, the
-/// oldest epoch still accepted, has passed it. A copy behind the horizon is refused as may-have-run. No clock decides:
-/// a pause or a wrong clock only moves the horizon early or late.
+/// Guards against delayed and duplicated copies: a request may stay in a socket buffer for minutes and arrive after
+/// another copy has been answered. Memory is bounded, so old tickets must be dropped, and a dropped ticket must not run
+/// again. The agent counts epochs, and each ticket carries the epoch in which it was minted. A ticket is dropped only
+/// when the horizon, the oldest epoch still accepted, has passed its epoch. A copy behind the horizon is refused as
+/// may-have-run. Safety does not depend on a clock: a pause or a wrong clock only moves the horizon early or late.
 class DedupTable {
 public:
     static Result<DedupTable> create(DedupTableOptions options, BackendServerId self, Incarnation incarnation, TimePoint now);
 
     /// A copy of the request has arrived.
     StartResult start(const Ticket& ticket);
-    /// The request has ended with `Ran` or `MayHaveRun`.
+    /// The run has ended with the verdict `Ran` or `MayHaveRun`.
     void finish(const Ticket& ticket, Verdict verdict);
-    /// Asks that the request does not run. `NotRun` leaves a tombstone that stops late copies; it is only answered
-    /// when that is kept until the horizon passes. A run in progress is answered `MayHaveRun` and goes on.
+    /// Cancels a request that has not started. `NotRun` leaves a tombstone that stops late copies; it is returned only
+    /// when the tombstone is kept until the horizon has passed the ticket. For a run in progress it returns
+    /// `MayHaveRun`, and the run continues.
     Verdict cancel(const Ticket& ticket);
 
-    /// Starts a new epoch when its time has come.
+    /// Starts a new epoch when the current one has ended.
     void tick(TimePoint now);
     TimePoint nextTick() const { return m_nextEpochAt; }
 
-    /// The epoch entries mint with; reported with the load.
+    /// Epoch with which entries mint tickets; sent with the load report.
     MintEpoch epoch() const { return m_epoch; }
     MintEpoch horizon() const { return m_horizon; }
     std::size_t size() const { return m_records.size(); }
@@ -88,7 +89,7 @@
     struct TicketHash {
         std::size_t operator()(const Ticket& ticket) const;
     };
-    /// Tickets that may be dropped once the horizon passes `epoch`.
+    /// Tickets of one epoch, dropped once the horizon has passed `epoch`.
     struct EpochList {
         MintEpoch epoch;
         std::vector<Ticket> tickets;
@@ -96,7 +97,8 @@
 
     DedupTable(DedupTableOptions options, BackendServerId self, Incarnation incarnation, TimePoint now);
     bool isForThisIncarnation(const Ticket& ticket) const;
-    /// Why a ticket not in the table may not enter it; nothing when it may and there is room.
+    /// Returns why a ticket that is not in the table must be rejected, or nothing when it is acceptable and there is
+    /// room.
     std::optional<StartAnswer> admit(const Ticket& ticket);
     bool makeRoom();
     void insert(const Ticket& ticket, Record record);
--- a/include/swiftloft/policy/fingerprint.h
+++ b/include/swiftloft/policy/fingerprint.h
@@ -6,8 +6,9 @@
 
 namespace swiftloft::policy {
 
-/// Fingerprint of a request: equal when organisation, service and body are equal, whatever key the resend carries.
-/// Whitespace outside of JSON strings does not count, since clients format anew on each send. One pass, no allocation.
+/// Fingerprint of a request, equal when organisation, service and body are equal, whatever request key a resend
+/// carries. Whitespace outside JSON strings is ignored, since clients may format the body differently on each send.
+/// Needs one pass over the body and does not copy it.
 Fingerprint fingerprintOf(const OrganisationName& organisation, const ServiceName& service, std::string_view body);
 
 } // namespace swiftloft::policy
--- a/include/swiftloft/policy/home-selector.h
+++ b/include/swiftloft/policy/home-selector.h
@@ -11,15 +11,17 @@
 namespace swiftloft::policy {
 
 struct HomeSelectorOptions {
-    /// Homes of a key under one list. Two lists can differ in all but one of them and no key runs twice.
+    /// Number of homes of a key under one list. Two lists may differ in all homes but one and a key still runs at most
+    /// once.
     std::size_t homesPerKey { 3 };
-    /// Lists replaced within this time count beside the current one.
+    /// Lists replaced within this time are used as well as the current one.
     milliseconds window { 30000 };
 };
 
-/// The agents that keep watch over a client key: rendezvous hashing over each list of agents that was current lately.
+/// Selects the home agents of client keys by rendezvous hashing over each recently current list of agents. The homes of
+/// a key grant the claims that let it run at most once.
 ///
-/// Keys fall into a fixed number of slots; a slot's homes are worked out once for each list, so that the cost of a
+/// Keys are hashed into a fixed number of slots. The homes of a slot are computed once per list, so that the cost of a
 /// request does not grow with the fleet.
 class HomeSelector {
 public:
@@ -28,8 +30,8 @@
     /// A newer list of agents was read. Older revisions are ignored.
     void onAgentList(ListRevision revision, std::vector<BackendServerId> agents, TimePoint now);
     ListRevision revision() const;
-    /// The homes under the current list, best first, then those under the lists of the window that are not among them.
-    /// Empty when no list is known, or it is empty.
+    /// The homes under the current list, best first, followed by those under the earlier lists of the window that are
+    /// not among them. Empty when no list is known or all known lists are empty.
     std::vector<BackendServerId> homesOf(const ClientKey& key, TimePoint now);
 
 private:
@@ -38,7 +40,7 @@
         std::vector<BackendServerId> agents;
         /// When a newer list replaced it.
         TimePoint replacedAt;
-        /// Indices into `agents` by slot; empty until asked for.
+        /// Indices into `agents` by slot; empty until first use.
         std::vector<std::vector<std::uint32_t>> homes;
     };
 
--- a/include/swiftloft/policy/organisation-limits.h
+++ b/include/swiftloft/policy/organisation-limits.h
@@ -13,28 +13,29 @@
 
 namespace swiftloft::policy {
 
-/// An organisation's limit over the whole fleet. Nothing set: not limited.
+/// Limit of an organisation across the whole fleet. Rates that are not set are unlimited.
 struct OrganisationLimit {
     std::optional<double> requestsPerSecond;
     std::optional<double> tokensPerSecond;
-    /// How many seconds of the rate may be used at once.
+    /// Burst size, in seconds of the rate.
     double burstSeconds { 10 };
 };
 
-/// Asks a peer for a part of its unused share.
+/// Request to a peer to lend a part of its unused share.
 struct LendRequest {
     InstanceId borrower;
     Incarnation borrowerIncarnation;
-    /// Counts up over all requests of this incarnation.
+    /// Increases with each request of this incarnation.
     std::uint64_t serial { 0 };
-    /// Whatever this lender granted for the organisation up to this serial is used up, or will never be accepted.
+    /// Everything that this lender granted for the organisation up to this serial is used up or will never be accepted.
     std::uint64_t spentUpTo { 0 };
     OrganisationName organisation;
     double requests { 0 };
     double tokens { 0 };
 };
 
-/// Hands over amounts that the lender has already taken off its own. Lost, it is lost; used, it is used once.
+/// Transfers amounts that the lender has already deducted from its own bucket. When the grant is lost, the amount is
+/// lost; it can be used only once.
 struct LendGrant {
     InstanceId lender;
     Incarnation borrowerIncarnation;
@@ -42,7 +43,8 @@
     OrganisationName organisation;
     double requests { 0 };
     double tokens { 0 };
-    /// Life of the grant. The borrower counts from when it asked, the lender from when it granted, which is later.
+    /// Lease of the grant. The borrower counts from when it sent the request, the lender from when it sent the grant,
+    /// which is later.
     milliseconds lease { 0 };
 };
 
@@ -70,36 +72,38 @@
 
 struct LimitDecision {
     LimitOutcome outcome { LimitOutcome::Admitted };
-    /// When refused: when this entry's own share will suffice, for `Retry-After`.
+    /// When refused: the time at which this entry's own share will suffice, for `Retry-After`.
     TimePoint retryAt;
-    /// A peer has been asked; a grant may allow the request within a round trip.
+    /// A lend request is pending; a grant may allow the request within a round trip.
     bool isBorrowing { false };
 };
 
 struct OrganisationLimitsOptions {
     FleetShareOptions share;
-    /// At most the window of the share, so that a restarted lender starts after all its grants have ended.
+    /// Lease of a grant. Must be at most the window of the share, so that all grants of a restarted lender have expired
+    /// before it has a share again.
     milliseconds lease { 5000 };
-    /// By how much two clocks may differ in speed over one lease, as a fraction.
+    /// Maximum difference in speed of two clocks over one lease, as a fraction.
     double clockDrift { 0.05 };
-    /// Part of its burst that a lender keeps for its own callers, while it has any and while it has none.
+    /// Fractions of its burst that a lender keeps for its own callers: while it has callers, and while it is idle.
     double lenderReserve { 0.5 };
     double idleLenderReserve { 0.1 };
-    /// Peers asked at a time, and the least time between two rounds.
+    /// Number of peers contacted per round, and the minimum interval between two rounds.
     std::size_t peersPerRound { 2 };
     milliseconds lendRequestInterval { 20 };
     milliseconds maxLendRequestInterval { 200 };
-    /// Peers asked in a second over all organisations: bounds what lending takes of the control traffic when many are
-    /// short at once.
+    /// Maximum lend requests per second over all organisations. Bounds the control traffic for lending when many
+    /// organisations reach their limits at the same time.
     double lendRequestsPerSecond { 40 };
 };
 
-/// Limits of organisations in requests and tokens, held by one entry without shared state.
+/// Enforces the request and token limits of organisations at one entry, without shared state.
 ///
-/// Each entry has a token bucket for its share (see `FleetShare`). A grant moves an amount, not a rate: the lender takes
-/// it out of its bucket before it sends the grant, the borrower accepts each grant once, within a lease counted from
-/// its own asking. Until the grant has ended or the borrower says that it is used up, the lender's bucket does not
-/// refill into the room it left. So over any time T all entries together admit at most rate x T + rate x burst, whatever is lost, doubled, reordered or late.
+/// Each entry has a token bucket for its share (see `FleetShare`). A grant transfers an amount, not a rate: the lender
+/// deducts the amount from its bucket before it sends the grant, and the borrower accepts each grant once, within a
+/// lease counted from when the borrower sent the request. Until the grant has expired, or the borrower reports that it
+/// is used up, the lender's bucket does not refill the lent amount. So over any time T all entries together admit at
+/// most rate x T + rate x burst, whatever messages are lost, duplicated, reordered or delayed.
 class OrganisationLimits {
 public:
     static Result<OrganisationLimits> create(OrganisationLimitsOptions options, InstanceId self, Incarnation incarnation, TimePoint now);
@@ -107,25 +111,28 @@
     OrganisationLimits& operator=(OrganisationLimits&&) noexcept;
     ~OrganisationLimits();
 
-    /// `isUnusedSinceStart`: this entry has admitted nothing for the organisation since it was created, so what its share
-    /// has yielded since then, up to the burst, is there to be used. Without it a new limit starts empty.
+    /// Sets or changes a limit. `isUnusedSinceStart` says that this entry has admitted nothing for the organisation
+    /// since it was created; the bucket of a new limit then starts with what its share has accumulated since then, up
+    /// to the burst. Otherwise it starts empty.
     void setLimit(const OrganisationName& organisation, const OrganisationLimit& limit, TimePoint now, bool isUnusedSinceStart = false);
     void removeOrganisation(const OrganisationName& organisation);
     /// The instance list was read; `entries` are the live entry instances.
     void onInstanceList(const std::vector<InstanceId>& entries, TimePoint now);
 
-    /// Takes one request and `estimate` tokens, or nothing. May ask peers: the effects are appended.
+    /// Takes one request and `estimate` tokens from the buckets, or nothing. When refused, it may append lend requests
+    /// to `effects`.
     LimitDecision admit(const OrganisationName& organisation, Tokens estimate, TimePoint now, LimitEffects& effects);
-    /// The request has ended and has cost `actual`: returns what was not used, or takes the excess out of what comes.
+    /// The request has ended and has cost `actual` tokens. Returns unused tokens to the bucket, or deducts the excess
+    /// from future admissions.
     void settle(const OrganisationName& organisation, Tokens estimate, Tokens actual, TimePoint now);
 
-    /// A peer asks. Grants out of what is not used here, or does not answer.
+    /// A lend request of a peer has arrived. Grants from the amount that is unused here, or returns nothing.
     LimitEffects onLendRequest(const LendRequest& request, TimePoint now);
-    /// False when the grant was refused: late, doubled, or not asked for by this incarnation.
+    /// Returns false when the grant is refused because it is late, duplicated or was not requested by this incarnation.
     bool onLendGrant(const LendGrant& grant, TimePoint now);
 
     double share(TimePoint now);
-    /// Tokens this entry could admit now, for display.
+    /// Tokens that this entry could admit now, for display.
     double availableTokens(const OrganisationName& organisation, TimePoint now);
 
 private:
--- a/include/swiftloft/policy/prefix-index.h
+++ b/include/swiftloft/policy/prefix-index.h
@@ -12,7 +12,7 @@
 
 namespace swiftloft::policy {
 
-/// Hash of a prompt from its start to the end of one block: equal hashes mean equal prefixes.
+/// Hash of a prompt from its start to the end of one block; equal hashes mean equal prefixes.
 using BlockHash = Strong<struct BlockHashTag, std::uint64_t>;
 
 struct PrefixBlockOptions {
@@ -20,25 +20,26 @@
     std::size_t maximumBlocks { 8 };
 };
 
-/// Hashes of the prefixes of `prompt` that end at whole blocks, shortest first. `salt` keeps models and adapters apart.
+/// Hashes of the prefixes of `prompt` that end at whole blocks, shortest first. `salt` separates models and adapters.
 std::vector<BlockHash> prefixBlocks(std::string_view prompt, std::uint64_t salt, const PrefixBlockOptions& options);
 
 struct PrefixIndexOptions {
-    /// Places remembered; rounded up to a power of two of buckets of four. One place takes 16 bytes.
+    /// Number of entries, rounded up to a power of two of buckets of four. One entry takes 16 bytes.
     std::size_t capacity { 1 << 16 };
-    /// A place not confirmed for so long is no longer believed: engines evict without telling.
+    /// Time after which an unconfirmed entry is ignored: engines evict cached prefixes without reporting it.
     seconds expireAfter { 300 };
 };
 
-/// Which backend servers lately held which prompt prefix in their cache, as far as this entry knows.
+/// Approximate index of the prompt prefixes that backend servers have recently cached, as observed by this entry.
 ///
-/// A four-way set-associative table: fixed memory, one cache line a lookup, the least recently used of four makes room.
-/// It is a hint. A wrong entry costs one prefill, so lost and late cache events need no repair.
+/// A four-way set-associative table: memory is fixed, a lookup touches one cache line, and the least recently used of
+/// four entries is replaced. The index is a hint. A wrong entry costs one prefill, so lost and late cache events need
+/// no repair.
 class PrefixIndex {
 public:
     struct Holder {
         ServerHandle server;
-        /// Blocks of the prompt the server is believed to hold.
+        /// Number of blocks of the prompt that the server is expected to have cached.
         std::size_t blocks { 0 };
     };
     static constexpr std::size_t maximumHolders = 4;
@@ -46,12 +47,12 @@
 
     static Result<PrefixIndex> create(PrefixIndexOptions options);
 
-    /// Notes that `server` computed, and so now caches, every prefix in `blocks`.
+    /// Records that `server` has computed, and therefore caches, every prefix in `blocks`.
     void insert(std::span<const BlockHash> blocks, ServerHandle server, TimePoint now);
-    /// Fills `holders` with the servers of the longest prefix that has any; returns how many there are.
+    /// Fills `holders` with the servers of the longest prefix that has any, and returns their number.
     std::size_t find(std::span<const BlockHash> blocks, TimePoint now, Holders& holders) const;
     void evict(BlockHash block, ServerHandle server);
-    /// Forgets all of `server` in constant time: after a restart, or a gap in its cache events.
+    /// Invalidates all entries of `server` in constant time, after a restart or a gap in its cache events.
     void invalidate(ServerHandle server);
 
 private:
--- a/include/swiftloft/policy/random.h
+++ b/include/swiftloft/policy/random.h
@@ -4,7 +4,7 @@
 
 namespace swiftloft::policy {
 
-/// Source of randomness that the caller owns and passes in, so that a decision with the same seed is the same.
+/// Random number generator, owned and passed in by the caller, so that decisions are reproducible from the seed.
 using Generator = boost::random::mt19937;
 
 } // namespace swiftloft::policy
--- a/include/swiftloft/policy/retry-budget.h
+++ b/include/swiftloft/policy/retry-budget.h
@@ -8,7 +8,7 @@
 
 namespace swiftloft::policy {
 
-/// Whose traffic earns and spends retries.
+/// Unit for which retries are accounted: one service of one organisation.
 struct TrafficKey {
     ServiceName service;
     OrganisationName organisation;
@@ -19,31 +19,33 @@
 std::size_t hash_value(const TrafficKey& key); // NOLINT(readability-identifier-naming): found by Boost under this name
 
 struct RetryBudgetOptions {
-    /// Retries earned by each success.
+    /// Retry credit earned by each success.
     double fractionOfSuccesses { 0.1 };
-    /// Most retries one service and organisation can save up.
+    /// Maximum retry credit of one service and organisation.
     double maximumCredit { 10 };
-    /// Retries a second that this entry grants beyond what was earned, over all services and organisations together.
+    /// Retries per second that this entry grants beyond the earned credit, over all services and organisations
+    /// together.
     double floorPerSecond { 0.5 };
-    /// Most retries the floor saves up.
+    /// Maximum credit of the floor.
     double maximumFloor { 3 };
 };
 
 /// Retry budgets of one entry, per service and organisation.
 ///
-/// Guards against retry storms: when half of the fleet fails, retries of everything double the work just when there is
-/// least room for it, and the healthy half fails too. A budget earned by successes keeps the extra work under the
-/// fraction whatever the failure rate is. The floor lets rare traffic retry at all; it is one pool for the whole entry
-/// because a floor per key would add up to many times the traffic (1,800 organisations x 11 services x 670 entries).
+/// Guards against retry storms: when half of the fleet fails, retrying every request doubles the load just when there
+/// is least capacity, and the healthy half fails too. A budget earned by successes keeps the additional load under the
+/// configured fraction, whatever the failure rate is. The floor allows retries of infrequent traffic. It is one pool
+/// for the whole entry, because a floor per key would add up to many times the traffic (1,800 organisations x 11
+/// services x 670 entries).
 class RetryBudget {
 public:
-    /// Fails with `InvalidArgument` when a fraction or rate is negative.
+    /// Fails with `InvalidArgument` when a fraction, rate or credit is negative.
     static Result<RetryBudget> create(RetryBudgetOptions options);
 
     void onSuccess(const TrafficKey& key);
-    /// Takes one retry out of what the key earned, else out of the floor. False: no retry is left.
+    /// Takes one retry from the credit of the key, or else from the floor. Returns false when no retry is left.
     bool tryTake(const TrafficKey& key, TimePoint now);
-    /// Drops the credit of an organisation that left the settings.
+    /// Removes the credit of an organisation that is no longer in the settings.
     void removeOrganisation(const OrganisationName& organisation);
 
     std::size_t size() const { return m_credits.size(); }
--- a/include/swiftloft/policy/retry-policy.h
+++ b/include/swiftloft/policy/retry-policy.h
@@ -10,32 +10,32 @@
 
 namespace swiftloft::policy {
 
-/// Bytes of the answer counted from its first one.
+/// Offset in bytes from the start of the response.
 using OutputOffset = Strong<struct OutputOffsetTag, std::uint64_t>;
 
-/// What is known of a request when one of its attempts has failed.
+/// State of a request when one of its attempts has failed.
 struct FailedAttempt {
     TrafficKey traffic;
-    /// Verdict over all attempts so far, this one included.
+    /// Verdict over all attempts so far, including this one.
     Verdict verdict { Verdict::MayHaveRun };
     bool isRepeatable { false };
-    /// How much of the answer has gone to the client.
+    /// Part of the response that has been sent to the client.
     OutputOffset delivered;
-    /// First byte from which the agent that runs the request can still send, when it can be reached again.
+    /// First offset from which the agent that runs the request can still send, if the agent can be reached again.
     std::optional<OutputOffset> resumableFrom;
-    /// Attempts made, this one included.
+    /// Number of attempts, including this one.
     unsigned attempts { 1 };
     TimePoint deadline;
-    /// How long a new attempt takes at best; one that cannot end before the deadline is not begun.
+    /// Minimum duration of a new attempt. An attempt that cannot end before the deadline is not started.
     microseconds expectedService { 0 };
 };
 
 enum class RetryAction {
     /// Start a new attempt.
     Retry,
-    /// Re-attach to the running attempt and go on at `resumeAt`.
+    /// Re-attach to the running attempt and continue at `resumeAt`.
     Resume,
-    /// Answer the client now with the verdict and `retryAfter`.
+    /// Respond to the client now with the verdict and `retryAfter`.
     Answer,
 };
 
@@ -53,10 +53,10 @@
 struct RetryDecision {
     RetryAction action { RetryAction::Answer };
     RetryReason reason { RetryReason::Allowed };
-    /// When to act; for `Answer` it is now.
+    /// When to act; for `Answer`, the current time.
     TimePoint at;
     OutputOffset resumeAt;
-    /// For `Answer`: the value of the `Retry-After` header.
+    /// For `Answer`: value of the `Retry-After` header.
     seconds retryAfter { 0 };
     Verdict verdict { Verdict::MayHaveRun };
 };
@@ -67,7 +67,7 @@
     unsigned maximumAttempts { 4 };
 };
 
-/// Decides what follows a failed attempt. Holds no state of requests; the budget is the caller's.
+/// Decides what to do after a failed attempt. Keeps no state about requests; the caller owns the budget.
 class RetryPolicy {
 public:
     static Result<RetryPolicy> create(RetryPolicyOptions options);
--- a/include/swiftloft/policy/router.h
+++ b/include/swiftloft/policy/router.h
@@ -17,26 +17,30 @@
 struct RouterOptions {
     DataCentreName dataCentre;
     RegionName region;
-    /// Services up to this size are compared in full; larger ones by random samples of `samples` servers.
+    /// Services with at most this many servers are compared in full; for larger ones `sampleCount` random servers are
+    /// compared.
     std::size_t fullScanLimit { 16 };
-    /// Two: with more, entries that hold the same old reports meet at the same few idle servers.
+    /// Number of random servers compared. With more than two, entries that have the same outdated reports all select
+    /// the same few idle servers.
     std::size_t sampleCount { 2 };
-    /// Weight of the newest report in a server's load by other entries. Reports are older than most prefills last, so a
-    /// single one says little.
+    /// Weight of the newest report in the estimate of a server's load from other entries. Reports are older than the
+    /// duration of most prefills, so a single report says little.
     double reportWeight { 0.3 };
-    /// Speed assumed of a server that has not reported.
+    /// Throughput assumed for a server that has not reported.
     double defaultTokensPerSecond { 5000 };
-    /// Servers beyond the own data centre are looked at when the best wait at home exceeds this.
+    /// Servers outside the local data centre are considered when the best local wait exceeds this.
     milliseconds spillThreshold { 200 };
-    /// Added to the expected time of a server outside the data centre, and outside the region.
+    /// Added to the expected time of a server in another data centre of the region, and of a server outside the region.
     milliseconds regionPenalty { 3 };
     milliseconds farPenalty { 40 };
-    /// A server that holds the prompt's prefix is taken while its expected first byte is at most this times the best
-    /// server's, plus the weighted prefill it saves. Bounds the imbalance that affinity can cause.
+    /// A server that has cached the prompt's prefix is selected while its expected first-byte time is at most this
+    /// factor times that of the best server, plus the weighted prefill time that it saves. Bounds the load imbalance
+    /// that affinity can cause.
     double affinityFactor { 1 };
-    /// What one request saves is room for the others too; so it counts for more than its own time.
+    /// Weight of the saved prefill time. A weight above 1 accounts for the capacity that the saving leaves to other
+    /// requests.
     double savingsWeight { 2 };
-    /// Ejection stops when fewer than this share of the servers would be left.
+    /// A server is not ejected when this would leave less than this share of the servers active.
     double minActiveShare { 0.5 };
     ServerHealthOptions health;
     PrefixIndexOptions prefixes;
@@ -48,12 +52,12 @@
     RegionName region;
 };
 
-/// An agent's account of its load. It lags: `sampledAt` is the time of receipt less the age the report states.
+/// Load reported by an agent. Reports lag: `sampledAt` is the time of receipt minus the age stated in the report.
 struct LoadReport {
     TimePoint sampledAt;
-    /// Work accepted and not done, of all entries.
+    /// Work that the agent has accepted from all entries and not completed.
     Tokens pending;
-    /// Zero when not known.
+    /// Zero when unknown.
     double tokensPerSecond { 0 };
 };
 
@@ -63,16 +67,16 @@
     Tokens promptTokens;
     Tokens expectedOutput;
     bool isRepeatable { false };
-    /// Servers that this request has been tried at.
+    /// Servers at which this request has been attempted.
     std::span<const ServerHandle> triedServers;
 };
 
 enum class RouteReason {
     LeastWait,
     PrefixCached,
-    /// No server of the own data centre was good enough.
+    /// No server of the local data centre was good enough.
     Spilled,
-    /// An ejected server is tried again with this one request.
+    /// The request probes an ejected server.
     Probe,
 };
 
@@ -81,7 +85,8 @@
 struct RouteChoice {
     ServerHandle server;
     RouteReason reason { RouteReason::LeastWait };
-    /// What `onStart` adds to the server's load: `onFirstByte` takes the prompt off, `onFinish` and `onFail` the rest.
+    /// Work that `onStart` adds to the server's load. `onFirstByte` removes the prompt, `onFinish` and `onFailure` the
+    /// rest.
     Tokens chargedPrompt;
     Tokens chargedOutput;
     microseconds expectedFirstByte { 0 };
@@ -91,13 +96,13 @@
 enum class ServerState {
     Active,
     Ejected,
-    /// Told to go; gets nothing new.
+    /// The server is leaving and gets no new requests.
     Leaving,
 };
 
 std::string_view toString(ServerState state);
 
-/// One row of `Router::explain()`, best first.
+/// One row of `Router::explain()`; the best server comes first.
 struct RouteExplanation {
     BackendServerId id;
     ServerState state { ServerState::Active };
@@ -109,13 +114,13 @@
     bool isLocal { true };
 };
 
-/// Chooses the backend server for each request of one service at one entry.
+/// Selects the backend server for each request of one service at one entry.
 ///
-/// The expected wait of a server is this entry's own work there, which is known exactly, and the work of other entries,
-/// as the smoothed difference of the reports and the own work at their sample times; over its speed, times how slow it
-/// was seen to be. Cost per choice does not grow with the number
-/// of servers: a fixed number is sampled, which also keeps entries with the same lagging reports from all picking the
-/// same server.
+/// The expected wait of a server is the pending work divided by the server's throughput, times its observed slow
+/// factor. The pending work is this entry's own work, which is known exactly, plus an estimate of the work of other
+/// entries: the smoothed difference between the reported work and this entry's own work at the sample time of the
+/// report. The cost of a selection does not grow with the number of servers, because a fixed number of servers is
+/// sampled. Sampling also prevents entries with the same outdated reports from all selecting the same server.
 class Router {
 public:
     static Result<Router> create(RouterOptions options);
@@ -123,32 +128,33 @@
     Router& operator=(Router&&) noexcept;
     ~Router();
 
-    /// Adds a server, or returns the handle it has already.
+    /// Adds a server, or returns its existing handle.
     ServerHandle add(const ServerDescription& description);
     void remove(ServerHandle server);
     void markLeaving(ServerHandle server);
     std::optional<ServerHandle> find(const BackendServerId& id) const;
-    /// Null for a removed server.
+    /// Returns null for a removed server.
     const BackendServerId* idOf(ServerHandle server) const;
     std::size_t size() const;
 
-    /// Nothing when no server may get new work.
+    /// Returns nothing when no server may get new work.
     std::optional<RouteChoice> choose(const RouteRequest& request, TimePoint now, Generator& generator) const;
-    /// The work was sent to the choice's server.
+    /// The request was sent to the chosen server.
     void onStart(const RouteChoice& choice, const RouteRequest& request, TimePoint now);
-    /// Takes the prompt out of `choice`, which goes to `onFinish` or `onFail` later.
+    /// The first byte of the response has arrived. Removes the prompt from the charge in `choice`, which is passed to
+    /// `onFinish` or `onFailure` later.
     void onFirstByte(RouteChoice& choice, microseconds observed, TimePoint now);
-    /// Mean time between tokens over a stretch of one answer.
+    /// Reports the mean time between tokens over a part of one response.
     void onTokenGap(ServerHandle server, microseconds gap, TimePoint now);
     void onFinish(const RouteChoice& choice, TimePoint now);
     void onFailure(const RouteChoice& choice, FailureKind kind, TimePoint now);
 
     void onReport(ServerHandle server, const LoadReport& report);
     void onCacheEvicted(ServerHandle server, BlockHash block);
-    /// The server's cache events have a gap, or it restarted: what it holds is not known.
+    /// The server's cache events have a gap, or the server has restarted, so its cache contents are unknown.
     void onCacheLost(ServerHandle server);
 
-    /// All servers with the figures a choice would use. Linear; for operators.
+    /// Lists all servers with the values that a selection would use. Linear in the number of servers; for operators.
     std::vector<RouteExplanation> explain(const RouteRequest& request, TimePoint now) const;
 
 private:
--- a/include/swiftloft/policy/server-handle.h
+++ b/include/swiftloft/policy/server-handle.h
@@ -5,8 +5,8 @@
 
 namespace swiftloft::policy {
 
-/// Names a backend server inside one `Router` without hashing its id. A handle of a removed server matches nothing,
-/// also when its slot has been given to another one.
+/// Identifies a backend server within one `Router` without hashing its id. The handle of a removed server matches no
+/// server, even after its slot has been reused.
 struct ServerHandle {
     std::uint32_t slot { 0 };
     std::uint32_t generation { 0 };
--- a/include/swiftloft/policy/server-health.h
+++ b/include/swiftloft/policy/server-health.h
@@ -5,8 +5,8 @@
 
 namespace swiftloft::policy {
 
-/// Follows the median of a stream with one number: up a little when a value is above, down when below. Unlike a mean
-/// it is not moved by one engine that is ten times slower.
+/// Estimates the median of a stream with a single value, which moves up slightly for each larger value and down for
+/// each smaller one. Unlike a mean, the estimate is not distorted by one engine that is ten times slower.
 class RunningMedian {
 public:
     void add(double value);
@@ -18,24 +18,25 @@
 };
 
 struct ServerHealthOptions {
-    /// Weight of the newest observation in a server's own average.
+    /// Weight of the newest observation in a server's moving average.
     double weight { 0.2 };
-    /// Token gaps above the median of the service times this count as slow; below it the difference is noise.
+    /// Token gaps above the service's median times this factor count as slow; smaller differences are noise.
     double gapTolerance { 1.3 };
-    /// The same for first-byte latency against the prediction, which is the noisier of the two.
+    /// The same for the ratio of observed to predicted first-byte latency, which is noisier than token gaps.
     double firstByteTolerance { 2.5 };
     double maximumFactor { 8 };
-    /// A server not observed for so long is believed to be as fast as the others again, so that it gets tried.
+    /// Time without observations after which a server is assumed to be as fast as the others again, so that it is
+    /// selected again.
     seconds expireAfter { 20 };
-    /// Failures in a row that eject; a crash ejects at once.
+    /// Number of consecutive failures that eject a server; a crash ejects it immediately.
     unsigned failuresToEject { 3 };
-    /// Running share of failures that ejects a server which also succeeds now and then.
+    /// Moving failure rate that ejects a server which also succeeds occasionally.
     double failureShareToEject { 0.4 };
     milliseconds initialEjection { 1000 };
     milliseconds maxEjection { 60000 };
 };
 
-/// What the servers of one service are compared with.
+/// Service-wide reference values with which each server is compared.
 struct ServiceBaseline {
     RunningMedian tokenGap;
     RunningMedian firstByteRatio;
@@ -45,20 +46,20 @@
     Unreachable,
     TimedOut,
     Crashed,
-    /// The agent refused for lack of room: no sign of ill health.
+    /// The agent refused the request because it is at capacity, which does not indicate a fault.
     Refused,
 };
 
-/// What this entry saw of one backend server: how slow, and whether it fails.
+/// Health of one backend server as observed by this entry: its relative speed and its failures.
 class ServerHealth {
 public:
     void onTokenGap(microseconds gap, ServiceBaseline& baseline, const ServerHealthOptions& options, TimePoint now);
     void onFirstByte(microseconds predicted, microseconds observed, ServiceBaseline& baseline, const ServerHealthOptions& options, TimePoint now);
     void onSuccess(const ServerHealthOptions& options, TimePoint now);
-    /// True when the server is to be ejected until `ejectedUntil()`.
+    /// Returns true when the server must be ejected until `ejectedUntil()`.
     bool onFailure(FailureKind kind, const ServerHealthOptions& options, TimePoint now);
 
-    /// 1 for a server as fast as the median, 4 for one four times slower.
+    /// Returns 1 for a server as fast as the median, 4 for one that is four times slower.
     double slowFactor(const ServerHealthOptions& options, TimePoint now) const;
     TimePoint ejectedUntil() const { return m_ejectedUntil; }
 
--- a/include/swiftloft/policy/ticket.h
+++ b/include/swiftloft/policy/ticket.h
@@ -8,35 +8,37 @@
 
 namespace swiftloft::policy {
 
-/// A stretch in the life of one agent incarnation, counted by that agent alone. Orders tickets without a clock.
+/// Counter of time periods of one agent incarnation, advanced by that agent alone. Orders tickets without a clock.
 using MintEpoch = Strong<struct MintEpochTag, std::uint64_t>;
 
-/// A request key minted by an entry. It names the only agent incarnation that may start the request, so that no two
-/// processes ever have to agree on who runs it.
+/// A request key minted by an entry. It names the only agent incarnation that may start the request, so that processes
+/// never have to agree on which of them runs it.
 struct Ticket {
     BackendServerId agent;
     Incarnation agentIncarnation;
-    /// The agent's epoch as the entry last heard it.
+    /// The agent's epoch as last reported to the entry.
     MintEpoch epoch;
-    /// The entry that minted the ticket, and its counter: no two tickets are equal.
+    /// Incarnation of the entry that minted the ticket, and its counter. Together they make each ticket unique.
     Incarnation mintedBy;
     std::uint64_t serial { 0 };
 
     friend bool operator==(const Ticket&, const Ticket&) = default;
 };
 
-/// Text form of tickets, as clients hold them and send them back:
-/// `sl1.INCARNATION.EPOCH.MINTER.SERIAL.CHECKSUM.AGENT`, numbers as 16 lower-case hexadecimal digits.
+/// Encodes tickets as text, in which form clients store them and send them back:
+/// `sl1.INCARNATION.EPOCH.MINTER.SERIAL.CHECKSUM.AGENT`, with numbers as 16 lower-case hexadecimal digits.
 ///
-/// The checksum covers the organisation, so a ticket of one organisation is malformed for another. It detects damage;
-/// it is no signature: a client that forges tickets harms requests of its own organisation only.
+/// The checksum covers the organisation, so a ticket of one organisation is malformed for another. The checksum detects
+/// damage but is not a signature: a client that forges tickets harms only requests of its own organisation.
 class TicketCodec {
 public:
     /// Fails with `InvalidArgument` when the agent's id is empty, too long or has characters outside `A-Za-z0-9._:-`.
     static Result<RequestKey> encode(const Ticket& ticket, const OrganisationName& organisation);
-    /// Fails with `MalformedInput` on anything that `encode` for the same organisation does not give. Safe on any bytes.
+    /// Fails with `MalformedInput` on any text that `encode` does not produce for the same organisation. Safe for
+    /// arbitrary bytes.
     static Result<Ticket> decode(std::string_view text, const OrganisationName& organisation);
-    /// True when `text` claims to be a ticket, so that a damaged one is refused and not taken for a client's own key.
+    /// Returns true when `text` has the prefix of a ticket, so that a damaged ticket is refused and not treated as a
+    /// key chosen by the client.
     static bool hasTicketPrefix(std::string_view text);
 };
 
--- a/src/policy/admission-queue.cc
+++ b/src/policy/admission-queue.cc
@@ -41,14 +41,15 @@
             ahead += static_cast<double>(organisation->lists[i].cost.value());
         bool isActive = organisation && organisation->backlog > Tokens(0);
         auto activeWeight = queue.activeWeight() + (isActive ? 0 : weight);
-        // While its own backlog drains at its share, the others drain too; it never waits for more than everything.
+        // While the organisation's backlog drains at its share, the other backlogs drain too. A request never waits for
+        // more than the total backlog.
         auto work = std::min(total, ahead * activeWeight / weight);
         return microseconds(static_cast<std::int64_t>(work / drainRate.tokensPerSecond() * 1e6));
     }
 
     bool canStart(Tokens cost) const
     {
-        // A request larger than the whole room runs alone rather than never.
+        // A request that exceeds the total capacity runs alone; otherwise it would never start.
         bool hasRoom = inFlight + cost <= options.capacity && running < options.maximumInFlight;
         return hasRoom || !running;
     }
@@ -92,8 +93,8 @@
         return timeToLatestStart >= 0 && wait <= timeToLatestStart * options.waitMargin;
     }
 
-    /// Guards against one organisation filling the queue: the others would be refused although their share is unused.
-    /// Room is made by the organisation that waits for the most in proportion to its weight.
+    /// Guards against one organisation filling the queue: the others would be refused although their shares are unused.
+    /// Evicts a request of the organisation with the largest backlog relative to its weight.
     bool evictFor(const AdmissionRequest& request, TimePoint now, Generator& generator, AdmissionEffects& effects)
     {
         if (queue.size() < options.maximumQueued)
@@ -124,7 +125,7 @@
 Result<AdmissionQueue> AdmissionQueue::create(AdmissionOptions options)
 {
     if (options.capacity <= Tokens(0) || !options.maximumInFlight || !options.maximumQueued || !(options.initialTokensPerSecond > 0))
-        return Error { ErrorCode::InvalidArgument, "admission queue: capacity, queue length and speed must be positive" };
+        return Error { ErrorCode::InvalidArgument, "admission queue: capacity, maximum in flight, queue length and initial throughput must be positive" };
     if (!(options.waitMargin > 0))
         return Error { ErrorCode::InvalidArgument, "admission queue: wait margin must be positive" };
     return AdmissionQueue(std::make_unique<State>(options));
@@ -174,7 +175,8 @@
 {
     AdmissionEffects effects;
     m_state->expire(now, generator, effects);
-    // The one in front may have been too large for the room left; those behind it may fit.
+    // A request at the head of the queue may have been too large for the remaining capacity; once it has expired, those
+    // behind it may fit.
     m_state->dispatch(effects);
     return effects;
 }
--- a/src/policy/backoff.cc
+++ b/src/policy/backoff.cc
@@ -16,9 +16,9 @@
 Result<Backoff> Backoff::create(BackoffOptions options)
 {
     if (options.initial.count() <= 0 || options.ceiling < options.initial)
-        return Error { ErrorCode::InvalidArgument, "backoff: initial must be positive and at most the ceiling" };
+        return Error { ErrorCode::InvalidArgument, "back-off: initial delay must be positive and at most the ceiling" };
     if (!(options.multiplier >= 1))
-        return Error { ErrorCode::InvalidArgument, "backoff: multiplier must be 1 or more" };
+        return Error { ErrorCode::InvalidArgument, "back-off: multiplier must be 1 or more" };
     return Backoff(options);
 }
 
--- a/src/policy/claim-protocol.cc
+++ b/src/policy/claim-protocol.cc
@@ -65,7 +65,7 @@
 
 ClaimEffects ClaimProtocol::onReply(const BackendServerId& from, const ClaimReply& reply)
 {
-    // Doubled and late replies of homes already passed are ignored.
+    // Duplicated and late replies of earlier homes are ignored.
     if (m_state != State::Claiming || from != m_homes[m_currentHome] || reply.claim != m_request.claim)
         return {};
     if (reply.answer == ClaimAnswer::Held)
@@ -81,7 +81,7 @@
 ClaimEffects ClaimProtocol::onUnreachable(const BackendServerId& agent)
 {
     if (m_state == State::Running && agent == m_request.runner) {
-        // The run may be under way. The claims stay, so that nobody else runs the key.
+        // The run may be in progress. The claims are kept, so that no other entry runs the key.
         m_state = State::Done;
         return { refuse(ClaimRefusal::HomeUnreachable) };
     }
@@ -104,7 +104,7 @@
     case RunAnswer::NotClaimed:
         break;
     }
-    // Not released: copies of the claim and the run may still be on their way to the runner.
+    // The claims are not released: copies of the claim and the run message may still be in transit to the runner.
     return { refuse(ClaimRefusal::ClaimExpired) };
 }
 
@@ -116,7 +116,8 @@
     return { { ClaimEffectKind::SendRun, m_request.runner, m_runnerIncarnation } };
 }
 
-/// Only before the run was sent: from here on this claim never runs anything, so its grants can be given back.
+/// Releases the grants and ends the attempt. Called only before the run was sent: this claim can then never run, so its
+/// grants can be released.
 ClaimEffects ClaimProtocol::abortClaim(ClaimEffect last)
 {
     m_state = State::Done;
--- a/src/policy/claim-table.cc
+++ b/src/policy/claim-table.cc
@@ -14,7 +14,7 @@
 Result<ClaimTable> ClaimTable::create(ClaimTableOptions options, Incarnation self, TimePoint now)
 {
     if (options.claimLease.count() <= 0 || options.retention < options.claimLease || !options.capacity)
-        return Error { ErrorCode::InvalidArgument, "claim desk: lease and capacity must be positive, retention at least the lease" };
+        return Error { ErrorCode::InvalidArgument, "claim table: lease and capacity must be positive, retention must be at least the lease" };
     return ClaimTable(options, self, now);
 }
 
@@ -23,7 +23,7 @@
     if (!m_lists.empty() && revision <= m_lists.back().revision)
         return;
     m_lists.push_back({ revision, now });
-    // Which list replaced an older one than these is of no interest: it was too long ago.
+    // Once the second list makes all older ones stale, the first one is no longer needed.
     while (m_lists.size() > 1 && m_lists[1].learnedAt + m_options.staleListTolerance < now)
         m_lists.pop_front();
 }
@@ -36,10 +36,10 @@
 
 std::optional<ClaimAnswer> ClaimTable::refusalReason(const ClaimRequest& request, TimePoint now) const
 {
-    // An entry that slept through list changes would claim at homes that nobody else asks any more.
+    // An entry that was paused during list changes would claim at homes that no other entry uses any more.
     if (isStale(request.revision, now))
         return ClaimAnswer::StaleList;
-    // A restarted agent has forgotten what it granted; granting again could let a key run twice.
+    // A restarted agent has lost its record of granted claims; granting a key again could let it run twice.
     if (now < m_gracePeriodEndsAt)
         return ClaimAnswer::TooYoung;
     if (m_records.size() >= m_options.capacity)
@@ -54,7 +54,7 @@
     auto newest = m_lists.back().revision;
     auto it = m_records.find(request.key);
     if (it != m_records.end()) {
-        // The same claim again is a doubled message; its first answer stands.
+        // The same claim again is a duplicated message; the first answer remains valid.
         auto answer = it->second.claim == request.claim ? ClaimAnswer::Granted : ClaimAnswer::Held;
         return { request.claim, answer, m_self, it->second.runner, newest };
     }
@@ -83,8 +83,8 @@
         return RunAnswer::AlreadyRunning;
     if (record.phase == Phase::Finished)
         return RunAnswer::AlreadyFinished;
-    // An entry that was paused between its last grant and the run: the other homes may have forgotten the claim, and
-    // another entry may have run the key.
+    // An entry was paused between its last grant and the run: the other homes may have dropped the claim, and another
+    // entry may have run the key.
     if (now >= record.leaseExpiresAt)
         return RunAnswer::NotClaimed;
     record.phase = Phase::Running;
@@ -112,7 +112,7 @@
 
 void ClaimTable::tick(TimePoint now)
 {
-    // All lives are equally long, so the list is in order of time.
+    // All records have the same lifetime, so the list is ordered by expiry.
     while (!m_expiries.empty() && m_expiries.front().expiresAt <= now) {
         auto it = m_records.find(m_expiries.front().key);
         if (it != m_records.end() && it->second.expiresAt <= now && it->second.phase != Phase::Running)
--- a/src/policy/crash-quarantine.cc
+++ b/src/policy/crash-quarantine.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t quarantineThreshold = 2;
-/// More crashes of one fingerprint change no decision.
+/// More crashes of one fingerprint do not change any decision.
 constexpr std::size_t maxCrashes = 4;
 
 template <typename Crashes>
@@ -84,7 +84,7 @@
 Result<CrashQuarantine> CrashQuarantine::create(CrashQuarantineOptions options)
 {
     if (options.suspicionPeriod.count() <= 0 || options.quarantinePeriod < options.suspicionPeriod || !options.capacity)
-        return Error { ErrorCode::InvalidArgument, "crash quarantine: suspicion and capacity must be positive, conviction at least suspicion" };
+        return Error { ErrorCode::InvalidArgument, "crash quarantine: suspicion period and capacity must be positive, quarantine period must be at least the suspicion period" };
     return CrashQuarantine(options);
 }
 
@@ -100,7 +100,7 @@
     auto until = earliestExpiry(record.crashes, now);
     if (n >= quarantineThreshold)
         return { QuarantineAction::Refuse, until };
-    // Two copies of one suspect would crash two servers before the first crash is known.
+    // Two copies of one suspect could crash two servers before the first crash is known.
     if (record.running)
         return { QuarantineAction::Wait, until };
     return { QuarantineAction::RunAlone, until };
@@ -148,11 +148,12 @@
 
 bool CrashQuarantine::onMessage(const SuspicionMessage& message, TimePoint now)
 {
-    // Each way round adds its delay to the life of the news; a node that has just forgotten would learn it anew from a
-    // slower one, and so on for ever. Counting nodes ends that whatever the delays are.
+    // Each forwarding adds its delay to the lifetime of a message, so a node that has just dropped a record could
+    // receive it again from a slower node, and so on indefinitely. The hop limit ends this whatever the delays are.
     if (message.hops >= m_options.maximumHops || message.remaining.count() <= 0)
         return false;
-    // A peer's figure is not trusted beyond what this node would have set itself.
+    // The remaining time sent by a peer is not trusted: it is capped at the longest time that this node would set
+    // itself.
     auto remaining = std::min<milliseconds>(message.remaining, m_options.quarantinePeriod);
     return merge(message.fingerprint, { message.crash, now + remaining, message.isCleared, message.hops + 1 }, now);
 }
@@ -185,8 +186,8 @@
     std::erase_if(crashes, [&](auto& known) { return known.expiresAt <= now && known.id != crash.id; });
     auto known = std::find_if(crashes.begin(), crashes.end(), [&](auto& each) { return each.id == crash.id; });
     if (known != crashes.end()) {
-        // The time point of the first messages stands: taking the later one, two nodes that tell each other of a crash
-        // would put its end off for ever.
+        // The expiry of the first message is kept. If the later one were used, two nodes that exchange their snapshots
+        // would postpone the expiry indefinitely.
         bool isNewlyCleared = crash.isCleared && !known->isCleared;
         known->isCleared = known->isCleared || crash.isCleared;
         return isNewlyCleared;
@@ -206,8 +207,8 @@
         it.expiresAt = std::max(it.expiresAt, now + m_options.quarantinePeriod);
 }
 
-/// Guards against a flood of crash reports filling the memory: suspects go first, the one with the shortest life left,
-/// then the convicted. Linear, but only for a new suspect when full.
+/// Guards against a flood of crash reports exhausting the memory. Evicts suspects first, in order of expiry, then
+/// quarantined requests. Linear in the number of records, but only for a new suspect when the table is full.
 void CrashQuarantine::evictToCapacity(TimePoint now)
 {
     if (m_records.size() < m_options.capacity)
--- a/src/policy/dedup-table.cc
+++ b/src/policy/dedup-table.cc
@@ -53,8 +53,8 @@
 
 bool DedupTable::isForThisIncarnation(const Ticket& ticket) const
 {
-    // A restarted agent has forgotten what its predecessor ran. It refuses its predecessor's tickets, late copies
-    // included; nobody else may run them either.
+    // A restarted agent has lost the record of what its previous incarnation ran. It refuses the tickets of that
+    // incarnation, including late copies, and no other agent may run them either.
     return ticket.agent == m_self && ticket.agentIncarnation == m_incarnation;
 }
 
@@ -62,7 +62,7 @@
 {
     if (!isForThisIncarnation(ticket))
         return StartAnswer::OtherIncarnation;
-    // Making room may raise the horizon over this very ticket, so it comes before the check.
+    // Making room may raise the horizon past this ticket, so it precedes the check.
     bool hasRoom = makeRoom();
     if (ticket.epoch < m_horizon)
         return StartAnswer::TooOld;
@@ -112,7 +112,8 @@
             return Verdict::NotRun;
         return it->second.phase == Phase::Finished ? it->second.verdict : Verdict::MayHaveRun;
     }
-    // Not known here is no proof unless the ticket is one this table would remember, and will go on to remember.
+    // That the ticket is not in the table proves that it did not run only if the table would have kept it, and will
+    // keep it from now on.
     if (admit(ticket))
         return Verdict::MayHaveRun;
     insert(ticket, { Phase::Tombstone, Verdict::NotRun });
@@ -155,7 +156,7 @@
     while (!m_epochs.empty() && m_epochs.front().epoch < m_horizon) {
         for (auto& ticket : m_epochs.front().tickets) {
             auto it = m_records.find(ticket);
-            // A run in progress stays, so that copies attach to it; finish() drops it.
+            // A run in progress is kept, so that copies attach to it; finish() removes it.
             if (it != m_records.end() && it->second.phase != Phase::Running)
                 m_records.erase(it);
         }
--- a/src/policy/drain-rate.h
+++ b/src/policy/drain-rate.h
@@ -4,7 +4,7 @@
 
 namespace swiftloft::policy::internal {
 
-/// Work finished a second while there was work waiting, with older stretches forgotten.
+/// Work completed per second while requests were queued, as an exponentially decaying average.
 class DrainRate {
 public:
     explicit DrainRate(double initial)
@@ -12,7 +12,8 @@
     {
     }
 
-    /// `isBusy`: something was waiting since the last finish; otherwise the gap says nothing about the speed.
+    /// `isBusy` says that requests have been queued since the last finish; otherwise the time since then does not
+    /// reflect the throughput.
     void onFinish(Tokens cost, bool isBusy, TimePoint now)
     {
         constexpr double decay = 1 - 1.0 / 64;
--- a/src/policy/fair-queue.h
+++ b/src/policy/fair-queue.h
@@ -31,13 +31,14 @@
 struct OrganisationQueue {
     OrganisationName name;
     double weight { 1 };
-    /// Virtual time at which the work started so far is paid for.
+    /// Virtual time at which the work started so far is accounted for.
     double finishTag { 0 };
     Tokens backlog;
     std::array<RequestList, priorityCount> lists;
 };
 
-/// The waiting requests, in lists by organisation and priority, with the orders in which they can leave.
+/// Queued requests, in lists by organisation and priority, indexed by the orders in which they can leave: turn, latest
+/// start time and largest share.
 class FairQueue {
 public:
     std::uint32_t organisationSlot(const OrganisationName& name);
@@ -53,18 +54,18 @@
 
     std::size_t size() const { return m_slots.size(); }
     Tokens backlog() const { return m_backlog; }
-    /// Sum of the weights of the organisations that have something waiting.
+    /// Sum of the weights of the organisations with queued requests.
     double activeWeight() const { return m_activeWeight; }
 
-    /// First request of the organisation whose turn it is.
+    /// Returns the slot of the request to start next: the first one of the organisation whose turn it is.
     std::optional<std::uint32_t> nextRequest() const;
-    /// Charges a start to its organisation.
+    /// Charges the cost of a start to the organisation.
     void charge(std::uint32_t organisation, Tokens cost);
-    /// Nothing waits and nothing runs: whoever used the idle servers owes nothing for it.
+    /// Called when no request is queued or running: organisations that used idle capacity are not charged for it later.
     void onIdle();
     std::optional<TimePoint> earliestLatestStart() const;
     std::uint32_t firstToExpire() const { return m_latestStarts.topId(); }
-    /// The organisation with the most waiting for its weight, and that amount.
+    /// The organisation with the largest backlog relative to its weight, and that amount.
     std::uint32_t largestOrganisation() const { return m_largestShares.topId(); }
     double largestShare() const { return -m_largestShares.topKey(); }
     std::uint32_t newestOf(std::uint32_t organisation) const;
--- a/src/policy/fingerprint.cc
+++ b/src/policy/fingerprint.cc
@@ -17,7 +17,7 @@
     return c == ' ' || c == '\t' || c == '\n' || c == '\r';
 }
 
-/// Hashes the stretches between insignificant spaces.
+/// Hashes the text between insignificant whitespace.
 class BodyHasher {
 public:
     explicit BodyHasher(XXH3_state_t* state)
--- a/src/policy/fleet-share.cc
+++ b/src/policy/fleet-share.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Size that leaves no share: this entry is not, or not yet, named.
+/// Size that results in no share: the list does not contain this entry, or no list has been read yet.
 constexpr std::size_t notListed = std::numeric_limits<std::size_t>::max();
 
 } // namespace
--- a/src/policy/home-selector.cc
+++ b/src/policy/home-selector.cc
@@ -31,7 +31,7 @@
 Result<HomeSelector> HomeSelector::create(HomeSelectorOptions options)
 {
     if (!options.homesPerKey || options.window.count() < 0)
-        return Error { ErrorCode::InvalidArgument, "request home: at least one home is needed, the window must not be negative" };
+        return Error { ErrorCode::InvalidArgument, "home selector: homes per key must be at least 1, the window must not be negative" };
     return HomeSelector(options);
 }
 
--- a/src/policy/indexed-heap.h
+++ b/src/policy/indexed-heap.h
@@ -8,7 +8,7 @@
 
 namespace swiftloft::policy::internal {
 
-/// Binary heap over small integer ids, least key on top, whose keys can be changed and removed in O(log n).
+/// Binary min-heap over small integer ids whose keys can be changed and removed in O(log n).
 template <typename Key>
 class IndexedHeap {
 public:
--- a/src/policy/lending-bucket.h
+++ b/src/policy/lending-bucket.h
@@ -10,12 +10,12 @@
 
 namespace swiftloft::policy::internal {
 
-/// An amount with an end: borrowed from `peer` or lent to it under the borrower's `serial`.
+/// An amount with an expiry, borrowed from `peer` or lent to it under the borrower's `serial`.
 struct Lease {
     double amount;
     TimePoint expiresAt;
     InstanceId peer;
-    /// The borrower's life, and its number for the grant.
+    /// The borrower's incarnation, and its serial of the lend request.
     Incarnation incarnation;
     std::uint64_t serial { 0 };
 };
@@ -28,10 +28,10 @@
     return sum;
 }
 
-/// One entry's part of one limit: a token bucket, what was borrowed into it and what was lent out of it.
+/// One entry's part of one limit: a token bucket with the amounts borrowed into it and lent out of it.
 class LendingBucket {
 public:
-    /// No rate: not limited. A bucket that was not limited before starts empty at `shareIntegral`.
+    /// Without a rate the bucket is not limited. A bucket that was not limited before starts empty at `shareIntegral`.
     void setRate(std::optional<double> perSecond, double burstSeconds, double shareIntegral)
     {
         if (!m_rate) {
@@ -43,7 +43,8 @@
     }
     bool isLimited() const { return m_rate.has_value(); }
 
-    /// `shareIntegral` is the integral of the share, `share` its value now.
+    /// Adds what has accumulated since the last refill. `shareIntegral` is the time integral of the share, `share` its
+    /// current value.
     void refill(double shareIntegral, double share, TimePoint now)
     {
         std::erase_if(m_borrowed, [&](auto& it) { return it.expiresAt <= now; });
@@ -59,7 +60,7 @@
     double available() const { return m_rate ? m_level + sumOf(m_borrowed) : std::numeric_limits<double>::infinity(); }
     double burst() const { return m_rate ? *m_rate * m_burstSeconds * m_share : 0; }
 
-    /// Seconds until `amount` is there from the own share alone; nothing when it never will be.
+    /// Seconds until `amount` is available from this entry's own share alone; nothing when it never will be.
     std::optional<double> secondsUntil(double amount) const
     {
         if (!m_rate || available() >= amount)
@@ -70,7 +71,7 @@
         return (amount - available()) / gain;
     }
 
-    /// Borrowed amounts first, those that end soonest before the others.
+    /// Takes borrowed amounts first, in order of expiry, then the bucket's own.
     void take(double amount, TimePoint now)
     {
         m_lastUsedAt = now;
@@ -84,13 +85,14 @@
         m_level -= amount;
     }
 
-    /// Bounded by the next refill, which comes before every use.
+    /// Returns an unused amount, or deducts a negative one. The next refill, which precedes every use, limits the
+    /// level.
     void refund(double amount) { m_level += amount; }
     void borrow(Lease lease) { m_borrowed.push_back(std::move(lease)); }
     const std::vector<Lease>& borrowed() const { return m_borrowed; }
 
-    /// What may be lent: never borrowed amounts, whose lease is someone else's. A bucket whose own callers have been
-    /// away for a whole burst keeps a smaller reserve.
+    /// Amount that may be lent. Borrowed amounts are excluded, since their leases belong to other entries. A bucket
+    /// whose own callers have used nothing for the duration of a whole burst keeps a smaller reserve.
     double lendable(double reserve, double idleReserve, TimePoint now) const
     {
         if (!m_rate)
@@ -103,15 +105,16 @@
         m_level -= lease.amount;
         m_lent.push_back(std::move(lease));
     }
-    /// The borrower has used up all it got under these serials: nothing of it can be used any more.
+    /// Ends the leases up to `spentUpTo`: the borrower has used up all it was granted under these serials, so none of
+    /// it can be used any more.
     void release(const InstanceId& borrower, Incarnation incarnation, std::uint64_t spentUpTo)
     {
         std::erase_if(m_lent, [&](auto& it) { return it.peer == borrower && it.incarnation == incarnation && it.serial <= spentUpTo; });
     }
 
 private:
-    /// Guards the burst of the whole fleet: were the bucket to fill up again while its grants are unused, both together
-    /// would allow more at one time than the limit's burst.
+    /// Guards the burst limit of the whole fleet: if the bucket refilled while its grants are unused, the bucket and
+    /// the grants together would allow more at one time than the limit's burst.
     double maxLevel() const { return std::max(0.0, burst() - sumOf(m_lent)); }
 
     std::optional<double> m_rate;
--- a/src/policy/organisation-limits.cc
+++ b/src/policy/organisation-limits.cc
@@ -12,7 +12,8 @@
 
 namespace {
 
-/// Asked for beyond the shortage, as a part of the own burst, so that not every request asks.
+/// Amount requested beyond the shortage, as a fraction of this entry's burst, so that not every request leads to a lend
+/// request.
 constexpr double lendRequestHeadroom = 0.25;
 
 struct PendingLoan {
@@ -95,7 +96,7 @@
         auto neededRequests = shortageOf(organisation.requests, 1);
         auto neededTokens = shortageOf(organisation.tokens, tokens);
         for (std::size_t i = 0; i < n; ++i) {
-            // In turn, so that each peer hears soon which of its grants are used up.
+            // Peers are contacted in turn, so that each peer soon learns which of its grants are used up.
             auto& peer = peers[organisation.nextPeer++ % peers.size()];
             auto spentUpTo = spentUpToAt(organisation, peer);
             LendRequest request { self, incarnation, ++lastSerial, spentUpTo, name, neededRequests, neededTokens };
@@ -119,7 +120,7 @@
         return available >= needed ? 0 : needed - available + lendRequestHeadroom * bucket.burst();
     }
 
-    /// Highest serial up to which nothing granted by `peer` is held or may still be accepted.
+    /// Highest serial up to which no grant of `peer` is held or can still be accepted.
     std::uint64_t spentUpToAt(const LimitedOrganisation& organisation, const InstanceId& peer) const
     {
         auto spent = lastSerial;
@@ -135,7 +136,8 @@
         return spent;
     }
 
-    /// A doubled or overtaken request would take the same amount twice for a borrower that accepts it once.
+    /// False for a duplicated or reordered request: it would deduct the same amount twice for a borrower that accepts
+    /// it once.
     bool isNewRequest(const LendRequest& request)
     {
         auto& known = borrowers[request.borrower];
@@ -179,9 +181,9 @@
     if (!share)
         return share.error();
     if (options.lease.count() <= 0 || options.lease * (1 + options.clockDrift) > options.share.window)
-        return Error { ErrorCode::InvalidArgument, "limits: the lease must be positive and, with the drift, at most the window" };
+        return Error { ErrorCode::InvalidArgument, "limits: the lease must be positive and, including the clock drift, at most the window" };
     if (!(options.clockDrift >= 0) || !(options.lenderReserve >= 0 && options.lenderReserve <= 1) || !(options.idleLenderReserve >= 0 && options.idleLenderReserve <= 1) || options.lendRequestInterval.count() <= 0 || !(options.lendRequestsPerSecond >= 0))
-        return Error { ErrorCode::InvalidArgument, "limits: drift must not be negative, reserve must be 0 to 1, ask interval positive, asks a second not negative" };
+        return Error { ErrorCode::InvalidArgument, "limits: clock drift must not be negative, reserves must be 0 to 1, lend request interval must be positive, lend requests per second must not be negative" };
     options.maxLendRequestInterval = std::max(options.maxLendRequestInterval, options.lendRequestInterval);
     return OrganisationLimits(std::make_unique<State>(options, std::move(self), incarnation, std::move(*share)));
 }
@@ -190,7 +192,7 @@
 {
     auto [entry, isNew] = m_state->organisations.try_emplace(organisation);
     auto& it = entry->second;
-    // Entries start asking at different peers.
+    // Spreads the first lend requests of different entries over different peers.
     if (isNew)
         it.nextPeer = std::hash<InstanceId> {}(m_state->self) ^ std::hash<OrganisationName> {}(organisation);
     auto shareIntegral = m_state->share.integralUntil(now);
@@ -272,7 +274,8 @@
         return false;
     auto pendingLoan = *it;
     pendingLoans.erase(it);
-    // Counted from the asking, which was before the granting: it ends here before it ends at the lender.
+    // The lease counts from the sending of the request, which precedes the grant: it ends here before it ends at the
+    // lender.
     auto end = pendingLoan.sentAt + std::min(grant.lease, m_state->options.lease);
     if (now >= end)
         return false;
--- a/src/policy/prefix-index.cc
+++ b/src/policy/prefix-index.cc
@@ -53,9 +53,9 @@
 {
     constexpr std::size_t largest = std::size_t(1) << 24;
     if (options.capacity < ways || options.capacity > largest)
-        return Error { ErrorCode::OutOfRange, "prefix index: capacity must be 4 to 16777216 places" };
+        return Error { ErrorCode::OutOfRange, "prefix index: capacity must be 4 to 16777216 entries" };
     if (options.expireAfter.count() <= 0)
-        return Error { ErrorCode::InvalidArgument, "prefix index: forget-after must be positive" };
+        return Error { ErrorCode::InvalidArgument, "prefix index: expire-after must be positive" };
     return PrefixIndex(std::bit_ceil(options.capacity / ways), options.expireAfter);
 }
 
@@ -71,7 +71,7 @@
         m_generations.resize(server.slot + 1);
     }
     if (m_generations[server.slot] != server.generation) {
-        // The slot has passed to another server: what its predecessor held is not held by this one.
+        // The slot has been reused for another server, which does not hold what the previous one held.
         m_generations[server.slot] = server.generation;
         ++m_epochs[server.slot];
     }
--- a/src/policy/retry-budget.cc
+++ b/src/policy/retry-budget.cc
@@ -24,9 +24,9 @@
 {
     auto isNegative = [](double value) { return !(value >= 0); };
     if (isNegative(options.fractionOfSuccesses) || isNegative(options.maximumCredit))
-        return Error { ErrorCode::InvalidArgument, "retry budget: fraction and credit must not be negative" };
+        return Error { ErrorCode::InvalidArgument, "retry budget: fraction of successes and maximum credit must not be negative" };
     if (isNegative(options.floorPerSecond) || isNegative(options.maximumFloor))
-        return Error { ErrorCode::InvalidArgument, "retry budget: the floor must not be negative" };
+        return Error { ErrorCode::InvalidArgument, "retry budget: floor rate and maximum floor must not be negative" };
     return RetryBudget(options);
 }
 
@@ -38,7 +38,7 @@
 
 bool RetryBudget::tryTake(const TrafficKey& key, TimePoint now)
 {
-    // Ten deposits of 0.1 add up to slightly less than one; the margin keeps the tenth from being lost.
+    // Ten additions of 0.1 give slightly less than one; the margin makes the tenth count.
     constexpr double wholeRetry = 1 - 1e-9;
     auto it = m_credits.find(key);
     if (it != m_credits.end() && it->second >= wholeRetry) {
--- a/src/policy/retry-policy.cc
+++ b/src/policy/retry-policy.cc
@@ -30,7 +30,7 @@
 Result<RetryPolicy> RetryPolicy::create(RetryPolicyOptions options)
 {
     if (!options.maximumAttempts)
-        return Error { ErrorCode::InvalidArgument, "retry policy: at least one attempt is needed" };
+        return Error { ErrorCode::InvalidArgument, "retry policy: maximum attempts must be at least 1" };
     auto backoff = Backoff::create(options.backoff);
     if (!backoff)
         return backoff.error();
@@ -42,7 +42,7 @@
     auto start = m_backoff.nextAttempt(attempt.attempts, now, generator);
     bool canResume = attempt.resumableFrom && *attempt.resumableFrom <= attempt.delivered;
     if (canResume && start < attempt.deadline && attempt.attempts < m_options.maximumAttempts) {
-        // Re-attaching sends no new work to an engine, so it takes nothing from the budget.
+        // Re-attaching sends no new work to an engine, so it needs no retry budget.
         return { RetryAction::Resume, RetryReason::Allowed, start, attempt.delivered, seconds(0), attempt.verdict };
     }
     auto reason = checkRetry(attempt, start);
@@ -57,8 +57,8 @@
 {
     if (!mayRetry(attempt.verdict, attempt.isRepeatable))
         return RetryReason::MayHaveRun;
-    // A second run draws other tokens. Joined to the delivered start they would make an answer that nobody generated
-    // and that looks whole; so an answer that has begun is only ever resumed.
+    // A second run samples different tokens. Appended to the part that has been delivered, they would form a response
+    // that no run generated but that looks complete. So a response that has begun can only be resumed.
     if (attempt.delivered > OutputOffset(0))
         return RetryReason::OutputBegan;
     if (attempt.attempts >= m_options.maximumAttempts)
--- a/src/policy/router.cc
+++ b/src/policy/router.cc
@@ -129,7 +129,7 @@
         boost::random::uniform_int_distribution<std::size_t> draw(0, active.size() - 1);
         bool comparesAll = active.size() <= options.fullScanLimit;
         auto n = comparesAll ? active.size() : options.sampleCount;
-        // Starting anywhere spreads equal servers.
+        // A random start spreads requests over equal servers.
         auto start = draw(generator);
         std::optional<Candidate> best;
         for (std::size_t i = 0; i < n; ++i) {
@@ -137,7 +137,7 @@
             if (wasTried(request, servers.handleOf(slot)))
                 continue;
             auto candidate = estimate(slot, 0, request, now);
-            // By first byte and not by wait: an idle slow server has no wait and a long prefill.
+            // Compared by first byte rather than by wait: an idle slow server has no wait but a long prefill.
             if (!best || candidate.firstByte < best->firstByte)
                 best = candidate;
         }
@@ -186,9 +186,10 @@
         return choice;
     }
 
-    /// Guards against a hot spot: a prefix that most requests share would draw all of them to its first holder, whose
-    /// queue grows while others idle. The holder is taken only while its first byte stays near the best one's; the server
-    /// taken instead becomes a holder too, so the prefix spreads as far as its traffic needs.
+    /// Guards against a hot spot: a prefix shared by most requests would send all of them to its first holder, whose
+    /// queue would grow while other servers are idle. The holder is selected only while its first-byte time is close to
+    /// that of the best server. The server selected instead becomes a holder too, so the prefix spreads over as many
+    /// servers as its traffic needs.
     bool isAffinityWorthwhile(const Candidate& holder, const Candidate& best) const
     {
         auto saved = best.firstByte - best.wait - (holder.firstByte - holder.wait);
@@ -212,9 +213,9 @@
 Result<Router> Router::create(RouterOptions options)
 {
     if (!options.sampleCount || !(options.defaultTokensPerSecond > 0))
-        return Error { ErrorCode::InvalidArgument, "router: samples and default speed must be positive" };
+        return Error { ErrorCode::InvalidArgument, "router: sample count and default throughput must be positive" };
     if (!(options.affinityFactor >= 0) || !(options.savingsWeight >= 0) || !(options.reportWeight > 0 && options.reportWeight <= 1) || !(options.minActiveShare >= 0 && options.minActiveShare <= 1))
-        return Error { ErrorCode::InvalidArgument, "router: affinity factor and savings weight must not be negative, report weight must be in (0, 1], minimum active must be 0 to 1" };
+        return Error { ErrorCode::InvalidArgument, "router: affinity factor and savings weight must not be negative, report weight must be in (0, 1], minimum active share must be 0 to 1" };
     auto prefixes = PrefixIndex::create(options.prefixes);
     if (!prefixes)
         return prefixes.error();
@@ -256,7 +257,7 @@
 std::optional<RouteChoice> Router::choose(const RouteRequest& request, TimePoint now, Generator& generator) const
 {
     auto due = m_state->servers.dueForProbe(now);
-    // Only a request that can be sent again may be risked on a server that failed before.
+    // Only a repeatable request may be sent to a server that failed before.
     if (due && request.isRepeatable && !wasTried(request, m_state->servers.handleOf(*due)))
         return m_state->choiceOf(m_state->estimate(*due, 0, request, now), RouteReason::Probe, request);
     auto best = m_state->bestOfAllTiers(request, now, generator);
@@ -316,12 +317,13 @@
         m_state->prefixes.invalidate(choice.server);
     auto wasProbed = server->isBeingProbed;
     if (kind == FailureKind::Refused) {
-        // An agent that refuses for lack of room is alive.
+        // An agent that refuses for lack of capacity is alive.
         m_state->servers.activate(choice.server);
         return;
     }
     bool isEjectionDue = server->health.onFailure(kind, m_state->options.health, now);
-    // When most servers fail the cause is rarely the servers, and the few left would drown: better to keep trying.
+    // When most servers fail, the cause is rarely the servers, and the remaining ones would be overloaded; it is better
+    // to keep using the failing ones.
     auto left = static_cast<double>(m_state->servers.activeCount()) - (server->state == ServerState::Active ? 1 : 0);
     bool leavesEnough = left >= m_state->options.minActiveShare * static_cast<double>(m_state->servers.size());
     if (wasProbed || (isEjectionDue && leavesEnough))
@@ -331,7 +333,7 @@
 void Router::onReport(ServerHandle server, const LoadReport& report)
 {
     auto* found = m_state->servers.at(server);
-    // Reports may come late and out of order; an older one would undo what a newer one said.
+    // Reports may arrive late and out of order; an older report must not replace a newer one.
     if (!found || report.sampledAt < found->sampledAt)
         return;
     found->sampledAt = report.sampledAt;
--- a/src/policy/server-health.cc
+++ b/src/policy/server-health.cc
@@ -23,7 +23,7 @@
 
 void RunningMedian::add(double value)
 {
-    // Wide steps at first, so that a bad first value does not linger; then one percent.
+    // The steps are wide at first, so that a bad first value is corrected quickly, and then one percent.
     constexpr double firstStep = 0.3;
     constexpr double lastStep = 0.01;
     if (!(value > 0))
@@ -46,7 +46,7 @@
 
 void ServerHealth::onFirstByte(microseconds predicted, microseconds observed, ServiceBaseline& baseline, const ServerHealthOptions& options, TimePoint now)
 {
-    // Predictions of next to nothing make wild ratios.
+    // Very small predictions would give extreme ratios.
     constexpr double minMicroseconds = 1000;
     auto ratio = std::max(minMicroseconds, static_cast<double>(observed.count())) / std::max(minMicroseconds, static_cast<double>(predicted.count()));
     baseline.firstByteRatio.add(ratio);
@@ -66,7 +66,8 @@
 {
     m_failures = 0;
     m_failureShare *= 1 - options.weight;
-    // A server that fails every other request succeeds in between; only a longer good stretch clears its record.
+    // A server that fails every other request succeeds in between; only a longer period without ejection resets the
+    // count.
     if (now >= m_ejectedUntil + options.maxEjection)
         m_ejections = 0;
 }
--- a/src/policy/server-table.h
+++ b/src/policy/server-table.h
@@ -10,7 +10,7 @@
 
 namespace swiftloft::policy::internal {
 
-/// How far a server is from this entry.
+/// Distance of a server from this entry.
 enum class Tier : std::uint8_t {
     DataCentre,
     Region,
@@ -18,12 +18,12 @@
 };
 constexpr std::size_t tierCount = 3;
 
-/// Changes of this entry's own work at a server lately, to work out what it was when a report was sampled.
+/// Recent changes of this entry's own work at a server, used to compute what that work was when a report was sampled.
 class RecentChanges {
 public:
     void add(TimePoint at, Tokens change);
-    /// Sum of the changes after `since`. The ring holds the last few: with more since the sample the sum is cut short,
-    /// and the report's own lag is then the smaller error.
+    /// Sum of the changes after `since`. The ring buffer holds only the most recent changes. With more changes since
+    /// then the sum is incomplete; the lag of the report is then the smaller error.
     Tokens sumAfter(TimePoint since) const;
 
 private:
@@ -35,7 +35,7 @@
     std::size_t m_next { 0 };
 };
 
-/// Figures a choice reads; kept together so that a sample touches few cache lines.
+/// The values that a selection reads, kept together so that sampling a server touches few cache lines.
 struct Server {
     Tokens ownInFlight;
     /// Smoothed work of other entries; negative until the first report.
@@ -53,14 +53,14 @@
     BackendServerId id;
 };
 
-/// The servers of one service by slot, the active ones also as a dense list for each tier.
+/// The servers of one service by slot, with a dense list of the active servers of each tier.
 class ServerTable {
 public:
     ServerHandle add(const ServerDescription& description, Tier tier);
     void remove(ServerHandle handle);
     std::optional<ServerHandle> find(const BackendServerId& id) const;
 
-    /// Null for a handle of a removed server.
+    /// Returns null for the handle of a removed server.
     Server* at(ServerHandle handle);
     const Server* at(ServerHandle handle) const;
     Server& slot(std::uint32_t n) { return m_servers[n]; }
@@ -74,9 +74,9 @@
     void activate(ServerHandle handle);
     void eject(ServerHandle handle);
     void markLeaving(ServerHandle handle);
-    /// The ejected server that may be probed soonest, if its time has come.
+    /// The ejected server whose ejection ended first, if it has ended.
     std::optional<std::uint32_t> dueForProbe(TimePoint now) const;
-    /// Keeps a server that is being probed out of `dueForProbe`.
+    /// Excludes a server from `dueForProbe` while it is being probed.
     void suspendProbe(std::uint32_t n);
 
 private:
