--- a/test/admission-queue_test.cc
+++ b/test/admission-queue_test.cc
@@ -13,7 +13,7 @@
 
 const TimePoint start { seconds(1000) };
 
-/// A queue before a service that does one request of `cost` at a time, each in 100 ms.
+/// A queue in front of a service that runs one request of `cost` at a time, each in 100 ms.
 struct QueueFixture {
     static constexpr std::int64_t cost = 1000;
 
@@ -29,7 +29,7 @@
         return queue.onArrive(request, now, generator);
     }
 
-    /// Finishes the running request; returns the one started next, or 0.
+    /// Finishes the running request. Returns the id of the request started next, or 0.
     std::uint64_t finish()
     {
         now += milliseconds(100);
@@ -50,8 +50,8 @@
 
 TEST_CASE_METHOD(QueueFixture, "AdmissionQueue: an organisation that floods the queue does not delay another's request")
 {
-    // A caterer's script sends fifty requests at once; a driver then asks for one stop sheet. First come first served
-    // would let the driver wait for all fifty.
+    // One organisation queues fifty requests, then another organisation sends a single one. In first-come, first-served
+    // order the single request would wait for all fifty.
     for (std::uint64_t i = 1; i <= 51; ++i)
         arrive(i, "caterer");
     arrive(100, "driver");
@@ -59,7 +59,7 @@
     CHECK(finish() == 100);
 }
 
-TEST_CASE_METHOD(QueueFixture, "AdmissionQueue: room is divided by weight")
+TEST_CASE_METHOD(QueueFixture, "AdmissionQueue: capacity is divided by weight")
 {
     queue.setWeight(OrganisationName("large"), 3);
     for (std::uint64_t i = 1; i <= 40; ++i) {
@@ -73,7 +73,7 @@
     CHECK(served["large"] <= 31);
 }
 
-TEST_CASE_METHOD(QueueFixture, "AdmissionQueue: an organisation that was idle has saved nothing up")
+TEST_CASE_METHOD(QueueFixture, "AdmissionQueue: an idle organisation accumulates no credit")
 {
     for (std::uint64_t i = 1; i <= 30; ++i)
         arrive(i, "steady");
@@ -90,8 +90,8 @@
 
 TEST_CASE_METHOD(QueueFixture, "AdmissionQueue: a request that would miss its deadline is refused on arrival")
 {
-    // Ten seconds of work wait and the owner's browser gives up after two. Queued, the request would use an engine for
-    // an answer that nobody reads, and delay the next ones as well.
+    // Ten seconds of work are queued and the client waits for two. If the request were queued, it would use an engine
+    // for a response that nobody reads, and delay the requests behind it.
     for (std::uint64_t i = 1; i <= 101; ++i)
         arrive(i, "cafe");
     auto effects = arrive(200, "cafe", seconds(2));
@@ -102,10 +102,10 @@
     CHECK(arrive(201, "cafe", milliseconds(-1))[0].reason == AdmissionReason::WaitTooLong);
 }
 
-TEST_CASE_METHOD(QueueFixture, "AdmissionQueue: a request given up on is answered when its last moment passes, not later")
+TEST_CASE_METHOD(QueueFixture, "AdmissionQueue: a request that can no longer meet its deadline is refused as soon as its latest start passes")
 {
-    // The engines stall. The estimate on arrival was good, yet the wait outgrows the deadline. The client must hear of
-    // it then, while it can still go elsewhere.
+    // The engines stall after the request was queued, so its wait exceeds the deadline although the estimate on arrival
+    // was within it. The client must be answered then, while it can still use another entry.
     arrive(1, "cafe");
     arrive(2, "cafe", milliseconds(500));
     REQUIRE(queue.nextTimer());
@@ -120,10 +120,10 @@
     CHECK(finish() == 0);
 }
 
-TEST_CASE("AdmissionQueue: when the queue is full the organisation that fills it makes room")
+TEST_CASE("AdmissionQueue: when the queue is full, a request of the organisation with the largest backlog is evicted")
 {
-    // One organisation fills the queue to its last place. Refusing whoever comes next would refuse the one request of
-    // an organisation that has used nothing.
+    // One organisation fills the queue. Refusing the next arrival would refuse the only request of an organisation that
+    // has used nothing.
     QueueFixture fixture(10);
     for (std::uint64_t i = 1; i <= 11; ++i)
         fixture.arrive(i, "hog");
@@ -141,7 +141,7 @@
 
 TEST_CASE_METHOD(QueueFixture, "AdmissionQueue: priority orders the requests of one organisation and takes nothing from another")
 {
-    // One organisation marks everything urgent.
+    // One organisation marks all its requests as high priority.
     for (std::uint64_t i = 1; i <= 21; ++i)
         arrive(i, "loud", seconds(60), Priority::High);
     for (std::uint64_t i = 101; i <= 110; ++i)
@@ -158,7 +158,7 @@
     CHECK(calm[1] == 101);
 }
 
-TEST_CASE_METHOD(QueueFixture, "AdmissionQueue: abandoned requests give their place back")
+TEST_CASE_METHOD(QueueFixture, "AdmissionQueue: abandoned requests free their place in the queue")
 {
     arrive(1, "cafe");
     arrive(2, "cafe");
@@ -172,7 +172,7 @@
     CHECK(arrive(4, "other")[0].action == AdmissionAction::Start);
 }
 
-TEST_CASE("AdmissionQueue: a request larger than the whole capacity runs alone rather than never")
+TEST_CASE("AdmissionQueue: a request larger than the whole capacity runs alone")
 {
     auto queue = AdmissionQueue::create({ .capacity = Tokens(1000) }).value();
     Generator generator(1);
@@ -187,8 +187,8 @@
 
 TEST_CASE("AdmissionQueue: short requests do not overfill the engines' batch slots")
 {
-    // Under overload the short requests are the ones in time. Counted in tokens alone, far more of them are started
-    // than the engines batch; all slow down, and most miss the deadline after all.
+    // Under overload, mostly short requests can still meet their deadlines. If only tokens were counted, far more of
+    // them would be started than the engines can batch; all would slow down and most would miss their deadlines.
     auto queue = AdmissionQueue::create({ .capacity = Tokens(1000), .maximumInFlight = 3 }).value();
     Generator generator(1);
     std::size_t started = 0;
@@ -199,7 +199,7 @@
     CHECK(queue.setMaximumInFlight(5, start, generator).size() == 2);
 }
 
-TEST_CASE("AdmissionQueue: the expected wait follows the speed that is seen, not the one assumed")
+TEST_CASE("AdmissionQueue: the expected wait follows the measured throughput, not the assumed one")
 {
     QueueFixture fixture;
     for (std::uint64_t i = 1; i <= 41; ++i)
--- a/test/claim-protocol_test.cc
+++ b/test/claim-protocol_test.cc
@@ -18,7 +18,7 @@
 const TimePoint start { seconds(100000) };
 const ClientKey key { OrganisationName("cafe"), RequestKey("permit-17") };
 const ClaimTableOptions tableOptions { .retention = seconds(600), .claimLease = seconds(10), .staleListTolerance = seconds(5), .capacity = 100 };
-/// A time that outlives a claim's lease but not the promise to the client.
+/// A time longer than a claim's lease but shorter than the retention of keys.
 constexpr seconds beyondLease { 11 };
 
 std::vector<BackendServerId> agentNames(int n)
@@ -47,14 +47,14 @@
     return home.homesOf(key, start);
 }
 
-/// What happens to the fleet before one of the steps.
+/// A fault injected before one of the steps.
 struct Fault {
     std::size_t beforeStep { 0 };
-    /// Agent that restarts with empty memory; none: time passes beyond the lease.
+    /// Agent that restarts with empty memory. Without it, time advances beyond the lease.
     std::optional<BackendServerId> restarted;
 };
 
-/// Two entries that were sent the same key, each with its own list, and the agents. Each step delivers one message of
+/// Two entries that received the same key, each with its own list, and the agents. Each step delivers one message of
 /// one entry and its reply.
 class TwoEntrySimulation {
 public:
@@ -113,7 +113,8 @@
     int m_runs { 0 };
 };
 
-/// Runs every order of the two entries' steps with the disturbances; returns the most runs of the key in any.
+/// Runs every order of the two entries' steps with the faults. Returns the maximum number of runs of the key in any
+/// order.
 int maxRuns(const std::vector<BackendServerId>& homesA, const std::vector<BackendServerId>& homesB, const std::vector<Fault>& faults, int& leastRuns)
 {
     constexpr unsigned stepsInOrder = 10;
@@ -134,13 +135,13 @@
     return most;
 }
 
-/// Lists that share `common` of a key's three homes with the first.
+/// Returns homes of which the last `common` are among the given ones.
 std::vector<BackendServerId> homesSharing(const std::vector<BackendServerId>& homes, std::size_t common)
 {
     auto others = agentNames(20);
     std::erase_if(others, [&](auto& it) { return std::find(homes.begin(), homes.end(), it) != homes.end(); });
     std::vector<BackendServerId> shared(others.begin(), others.begin() + static_cast<std::ptrdiff_t>(homes.size() - common));
-    // The common ones come last, so that the runners differ.
+    // The common homes come last, so that the runners differ.
     shared.insert(shared.end(), homes.end() - static_cast<std::ptrdiff_t>(common), homes.end());
     return shared;
 }
@@ -149,8 +150,8 @@
 
 TEST_CASE("ClaimProtocol: in every order of two entries' messages a key runs at most once, whatever lists they have")
 {
-    // An owner sends a permit with her own key, hears nothing and sends it again through another entry, whose list of
-    // agents is newer. Both entries reach an agent that is ready to run it.
+    // A client sends a request with its own key, gets no response and sends it again through another entry, whose list
+    // of agents is newer. Both entries reach an agent that is ready to run it.
     auto homes = homesFor(agentNames(12));
     REQUIRE(homes.size() == 3);
     for (std::size_t common = 1; common <= 3; ++common) {
@@ -160,14 +161,14 @@
     }
     int least = 1;
     CHECK(maxRuns(homes, homes, {}, least) == 1);
-    // With the same list the first home decides, and one of the two always wins.
+    // With the same list the first home decides, and one of the two entries always runs the key.
     CHECK(least == 1);
 }
 
-TEST_CASE("ClaimProtocol: a key runs at most once also when an agent restarts or an entry sleeps, at any moment")
+TEST_CASE("ClaimProtocol: a key runs at most once also when an agent restarts or an entry is paused, at any moment")
 {
-    // As before; and in between an agent restarts with empty memory, or an entry is stopped after its last grant and
-    // wakes when the other has long been served.
+    // As in the previous test, but an agent restarts with empty memory, or an entry is paused after its last grant and
+    // continues long after the other entry's request was served.
     auto homes = homesFor(agentNames(12));
     for (std::size_t common = 1; common <= 3; ++common) {
         auto others = homesSharing(homes, common);
@@ -185,18 +186,18 @@
     }
 }
 
-TEST_CASE("ClaimProtocol: lists that have no home in common are the one case that is not covered")
+TEST_CASE("ClaimProtocol: lists without a common home are the one case that is not covered")
 {
-    // Documents the limit of the promise: all three homes of a key replaced between the lists of two entries, and no
-    // agent that knows both lists. See docs/design/request-policy.md.
+    // Documents the limit of the guarantee: all three homes of a key are replaced between the lists of two entries, and
+    // no agent knows both lists. See docs/design/request-policy.md.
     auto homes = homesFor(agentNames(12));
     int least = 1;
     CHECK(maxRuns(homes, homesSharing(homes, 0), {}, least) == 2);
 }
 
-TEST_CASE("ClaimProtocol: an entry that wakes with an old list is refused by agents that know a newer one")
+TEST_CASE("ClaimProtocol: an entry that resumes with an old list is refused by agents that know a newer one")
 {
-    // An entry is stopped for an hour. All homes of its keys have moved; the old ones are still up.
+    // An entry is paused for an hour. All homes of its keys have moved, and the old ones are still up.
     auto table = establishedTable();
     table.onListRevision(ListRevision(7), start);
     CHECK(table.onClaim(claimOf(1, 6), start + seconds(5)).answer == ClaimAnswer::Granted);
@@ -212,10 +213,11 @@
     CHECK(table.onClaim(other, start + seconds(12)).answer == ClaimAnswer::StaleList);
 }
 
-TEST_CASE("ClaimDesk: an entry that sleeps longer than homes remember does not run the key when it wakes")
+TEST_CASE("ClaimTable: an entry paused longer than the homes keep its claim does not run the key when it resumes")
 {
-    // An entry is stopped between its last grant and the run. Ten minutes later the homes have forgotten the claim, and
-    // the owner's resend runs through another entry at another agent. Then the first entry wakes and sends its run.
+    // An entry is paused between its last grant and the run. Ten minutes later the homes have dropped the claim, and
+    // the client's resend runs through another entry at another agent. Then the first entry continues and sends its
+    // run.
     auto runner = establishedTable();
     auto witness = establishedTable();
     auto otherRunner = establishedTable();
@@ -230,15 +232,15 @@
     CHECK(runner.onRun(key, first.claim, Incarnation(1), later) == RunAnswer::NotClaimed);
 }
 
-TEST_CASE("ClaimDesk: copies of an old claim and its run do nothing at the agent's next incarnation")
+TEST_CASE("ClaimTable: delayed copies of an old claim and its run have no effect on the agent's next incarnation")
 {
-    // The agent ran the permit and restarted. Copies of both messages leave a buffer long after.
+    // The agent ran the request and restarted. Delayed copies of the claim and the run arrive long after.
     auto restarted = establishedTable(2);
     CHECK(restarted.onClaim(claimOf(1), start).answer == ClaimAnswer::Granted);
     CHECK(restarted.onRun(key, claimOf(1).claim, Incarnation(1), start) == RunAnswer::NotClaimed);
 }
 
-TEST_CASE("ClaimProtocol: a home that can't be reached means refusal, never not-run, and frees the others")
+TEST_CASE("ClaimProtocol: an unreachable home leads to refusal, never not-run, and the other claims are released")
 {
     auto homes = homesFor(agentNames(12));
     ClaimProtocol protocol(claimOf(1), homes);
@@ -259,7 +261,7 @@
     CHECK(homeless.start()[0].refusal == ClaimRefusal::NoHomes);
 }
 
-TEST_CASE("ClaimProtocol: a resend attaches to the run it finds, and claims are kept when the runner goes silent")
+TEST_CASE("ClaimProtocol: a resend attaches to the existing run, and claims are kept when the runner becomes unreachable")
 {
     auto homes = homesFor(agentNames(12));
     std::map<BackendServerId, ClaimTable> tables;
@@ -289,7 +291,7 @@
     CHECK(tables.at(homes[0]).outcomeOf(key) == Verdict::Ran);
 }
 
-TEST_CASE("ClaimDesk: keys are kept for the promised time and never dropped for lack of room")
+TEST_CASE("ClaimTable: keys are kept for the retention time and never evicted to make room")
 {
     auto table = establishedTable();
     table.onClaim(claimOf(1), start);
@@ -308,7 +310,7 @@
     CHECK(table.onClaim(claimOf(4), start + seconds(5612)).answer == ClaimAnswer::Held);
 }
 
-TEST_CASE("RequestHome: all entries agree on the homes, and a change of the list moves few keys")
+TEST_CASE("HomeSelector: all entries select the same homes, and a change of the list moves few keys")
 {
     auto agents = agentNames(60);
     auto shuffled = agents;
@@ -329,7 +331,7 @@
     CHECK(moved < 30);
 }
 
-TEST_CASE("RequestHome: homes under lists of the window count too, the current ones first")
+TEST_CASE("HomeSelector: homes under lists of the window are included, after the current ones")
 {
     auto home = HomeSelector::create({ .homesPerKey = 3, .window = seconds(30) }).value();
     CHECK(home.homesOf(key, start).empty());
--- a/test/crash-quarantine_test.cc
+++ b/test/crash-quarantine_test.cc
@@ -23,8 +23,9 @@
     return CrashQuarantine::create({ .suspicionPeriod = seconds(600), .quarantinePeriod = seconds(3600), .capacity = capacity }).value();
 }
 
-/// A fleet of entries and servers in which one body crashes whatever runs it. Each entry hears of a crash `propagationDelay`
-/// after it; agents hear only of their own. Clients send copies at given times through given entries.
+/// A fleet of entries and servers in which one body crashes every server that runs it. Each entry learns of a crash
+/// after `propagationDelay`; each agent learns only of its own crashes. Clients send copies at given times through
+/// given entries.
 class PoisonedFleet {
 public:
     PoisonedFleet(std::size_t entries, milliseconds propagationDelay)
@@ -38,7 +39,7 @@
         }
     }
 
-    /// One copy arrives at `entry`; it crashes its server at once if it is run.
+    /// One copy arrives at `entry`. If it is run, it crashes its server immediately.
     void send(std::size_t entry, TimePoint now)
     {
         deliver(now);
@@ -59,10 +60,10 @@
         }
     }
 
-    /// Servers that crashed, and crashes in all.
+    /// Number of servers that crashed, and total number of crashes.
     std::size_t crashed() const { return m_crashed.size(); }
     std::uint64_t crashes() const { return m_crashes; }
-    /// Copies that were run by an entry which had not heard of any crash.
+    /// Number of copies run by an entry that had not learned of any crash.
     std::size_t unawareRuns() const { return m_unawareRuns; }
 
 private:
@@ -106,8 +107,8 @@
 
 TEST_CASE("CrashQuarantine: resends through every entry, each with a new key, crash two backend servers at most")
 {
-    // A letter with a broken table crashes the engine that reads it. The owner presses send again and again; each time
-    // the phone picks another entry and mints a new key. News outruns the owner's next try.
+    // A request crashes every engine that runs it. The client resends it again and again, each time through another
+    // entry and with a new key. The suspicion reaches each entry before the next resend.
     PoisonedFleet fleet(6, milliseconds(2));
     for (int i = 0; i < 30; ++i)
         fleet.send(i % 6, start + milliseconds(6 * i));
@@ -115,10 +116,10 @@
     CHECK(fleet.crashes() == 2);
 }
 
-TEST_CASE("CrashQuarantine: copies that outrun the news cost one server each, and one more in all")
+TEST_CASE("CrashQuarantine: copies run before the suspicion propagates crash one server each, and at most one more in total")
 {
-    // A client hedges: it sends copies through several entries before any of them has heard of the first crash. That
-    // harm cannot be prevented without asking somebody before each run; it ends with the news.
+    // A client sends copies through several entries before any of them has learned of the first crash. These crashes
+    // cannot be prevented without coordination before each run; they end once the suspicion has been propagated.
     for (unsigned seed = 0; seed < 500; ++seed) {
         Generator generator(seed);
         boost::random::uniform_int_distribution<std::size_t> entry(0, 5);
@@ -135,7 +136,7 @@
     }
 }
 
-TEST_CASE("CrashQuarantine: a second crash convicts, for a time")
+TEST_CASE("CrashQuarantine: a second crash quarantines a request for a limited time")
 {
     auto quarantine = makeQuarantine();
     CHECK(quarantine.check(poison, start).action == QuarantineAction::Admit);
@@ -155,10 +156,10 @@
     CHECK(quarantine.empty());
 }
 
-TEST_CASE("CrashQuarantine: an innocent neighbour is released at every entry when it ends well elsewhere")
+TEST_CASE("CrashQuarantine: a request that ran beside the cause is cleared at every entry when it succeeds elsewhere")
 {
-    // Sixty letters were in flight beside the one that crashed the engine. Their owners send them again; were they
-    // kept suspect, each would wait for a server of its own, and the next unrelated crash would convict them.
+    // Sixty requests were in flight beside the one that crashed the engine, and their clients resend them. If they
+    // remained suspects, each would have to run alone, and the next unrelated crash would quarantine them.
     auto here = makeQuarantine();
     auto there = makeQuarantine();
     for (auto& message : here.onCrash({ CrashId(1), { poison, neighbour } }, start))
@@ -173,9 +174,9 @@
     }
 }
 
-TEST_CASE("CrashQuarantine: doubled, late and reordered news leads every node to the same decision")
+TEST_CASE("CrashQuarantine: duplicated, late and reordered messages lead every node to the same decision")
 {
-    // The clearing of a neighbour reaches one entry before the suspicion does, and everything comes twice.
+    // The message that clears a neighbour reaches one entry before the suspicion does, and every message arrives twice.
     std::vector<SuspicionMessage> messages {
         { neighbour, CrashId(1), false, seconds(600) },
         { neighbour, CrashId(1), true, seconds(600) },
@@ -195,10 +196,10 @@
     } while (std::next_permutation(order.begin(), order.end()));
 }
 
-TEST_CASE("CrashQuarantine: news that nodes pass to and fro comes to an end")
+TEST_CASE("CrashQuarantine: messages forwarded back and forth between nodes expire")
 {
-    // Two entries tell each other what they know, again and again. Were each message a fresh start, a suspicion would
-    // never expire, and a letter would be refused for good.
+    // Two entries exchange their snapshots repeatedly. If each message restarted the lifetime, a suspicion would never
+    // expire, and the request would be refused forever.
     auto delay = GENERATE(milliseconds(20), milliseconds(150));
     auto a = makeQuarantine();
     auto b = makeQuarantine();
@@ -219,9 +220,9 @@
     CHECK(b.empty());
 }
 
-TEST_CASE("CrashQuarantine: memory is bounded, and a flood of suspects does not free the convicted")
+TEST_CASE("CrashQuarantine: memory is bounded, and a flood of suspects does not evict quarantined requests")
 {
-    // An engine that crashes again and again reports hundreds of suspects an hour.
+    // An engine that crashes repeatedly reports hundreds of suspects per hour.
     auto quarantine = makeQuarantine(50);
     quarantine.onCrash({ CrashId(1), { poison } }, start);
     quarantine.onCrash({ CrashId(2), { poison } }, start);
@@ -231,7 +232,7 @@
     CHECK(quarantine.check(poison, start + seconds(3500)).action == QuarantineAction::Refuse);
 }
 
-TEST_CASE("CrashQuarantine: hostile messages neither live longer than allowed nor grow the memory")
+TEST_CASE("CrashQuarantine: malicious messages neither exceed the maximum lifetime nor grow the memory")
 {
     auto quarantine = makeQuarantine(50);
     Generator generator(8);
@@ -245,7 +246,7 @@
     CHECK(quarantine.empty());
 }
 
-TEST_CASE("suspectServer: all entries choose alike, whatever the order of their lists, and move little when one leaves")
+TEST_CASE("isolationServer: all entries select the same server, whatever the order of their lists, and few selections change when one leaves")
 {
     std::vector<BackendServerId> servers;
     servers.reserve(20);
@@ -265,7 +266,7 @@
     CHECK_FALSE(isolationServer(poison, {}));
 }
 
-TEST_CASE("fingerprintOf: a resend has the same fingerprint however it is laid out, another request has not")
+TEST_CASE("fingerprintOf: a resend has the same fingerprint however it is formatted, another request has a different one")
 {
     OrganisationName cafe("cafe");
     ServiceName drafting("drafting");
--- a/test/dedup-table_test.cc
+++ b/test/dedup-table_test.cc
@@ -27,9 +27,10 @@
 
 } // namespace
 
-TEST_CASE("DedupTable: a second copy attaches to the run or hears of its end, and never runs")
+TEST_CASE("DedupTable: a second copy attaches to the run or gets its outcome, and never runs")
 {
-    // An entry loses its connection after the request was written and sends it again on a new one. Both copies arrive.
+    // An entry loses its connection after the request was written and sends the request again on a new connection. Both
+    // copies arrive.
     auto table = makeTable();
     CHECK(table.start(ticketOf(1)).answer == StartAnswer::Run);
     CHECK(table.start(ticketOf(1)).answer == StartAnswer::AlreadyRunning);
@@ -41,8 +42,8 @@
 
 TEST_CASE("DedupTable: a cancelled request is not run by a copy that arrives later")
 {
-    // The client was told not-run while its request still lay in a socket's buffer. The connection comes back to life
-    // and delivers it: two vans go to one wedding.
+    // The client got the verdict not-run while a copy of its request was still in a socket buffer. The connection
+    // recovers and delivers the copy; if it ran, work that the client has since submitted again would run twice.
     auto table = makeTable();
     CHECK(table.cancel(ticketOf(1)) == Verdict::NotRun);
     auto late = table.start(ticketOf(1));
@@ -54,10 +55,10 @@
     CHECK(table.cancel(ticketOf(2)) == Verdict::Ran);
 }
 
-TEST_CASE("DedupTable: a restarted agent refuses what its predecessor may have run")
+TEST_CASE("DedupTable: a restarted agent refuses what its previous incarnation may have run")
 {
-    // The agent runs a booking, dies and restarts within a second. The entry re-sends the booking to the same address;
-    // the new process has never heard of it.
+    // The agent runs a request, crashes and restarts within a second. The entry resends the request to the same
+    // address, where the new process has no record of it.
     auto table = makeTable();
     auto old = ticketOf(1);
     old.agentIncarnation = Incarnation(4);
@@ -69,9 +70,9 @@
     CHECK(table.start(foreign).answer == StartAnswer::OtherIncarnation);
 }
 
-TEST_CASE("DedupTable: a copy that outlives the table's memory is refused, not run again")
+TEST_CASE("DedupTable: a copy that arrives after its record was dropped is refused, not run again")
 {
-    // A copy sits in a paused entry for an hour. The agent's memory of the request has been dropped long ago.
+    // A copy is held in a paused entry for an hour. The agent has long dropped its record of the request.
     auto table = makeTable();
     table.start(ticketOf(1));
     table.finish(ticketOf(1), Verdict::Ran);
@@ -85,9 +86,10 @@
     CHECK(table.start(ticketOf(3, 9)).answer == StartAnswer::NotYetMinted);
 }
 
-TEST_CASE("DedupTable: a flood of requests costs old tickets their acceptance, never their safety")
+TEST_CASE("DedupTable: under a flood of requests old tickets are refused, but never run twice")
 {
-    // One entry floods the agent. To take new tickets the table drops old ones; copies of those must not run.
+    // One entry floods the agent with requests. To accept new tickets the table drops old ones; copies of those must
+    // not run.
     auto table = makeTable(10);
     for (std::uint64_t i = 0; i < 10; ++i) {
         table.start(ticketOf(i));
@@ -101,10 +103,10 @@
     CHECK(table.cancel(ticketOf(0)) == Verdict::MayHaveRun);
 }
 
-TEST_CASE("DedupTable: making room for a ticket can put the ticket itself behind the horizon")
+TEST_CASE("DedupTable: making room for a ticket can move the horizon past the ticket itself")
 {
-    // The table is full of the last epoch when one more ticket of that epoch arrives. Room is made by dropping that
-    // epoch; the ticket may be a copy of one just dropped.
+    // The table is full of tickets of the previous epoch when one more ticket of that epoch arrives. Dropping that
+    // epoch makes room, but the ticket may be a copy of one that was just dropped.
     auto table = makeTable(2);
     auto fill = [&] {
         for (std::uint64_t i = 0; i < 2; ++i) {
@@ -121,7 +123,8 @@
 
 TEST_CASE("DedupTable: copies attach to a run in progress however long it lasts")
 {
-    // A long answer outlives the epochs kept; its connection breaks, and the entry attaches again under the same ticket.
+    // A long run lasts beyond the epochs kept. Its connection breaks, and the entry attaches again with the same
+    // ticket.
     auto table = makeTable();
     table.start(ticketOf(1));
     for (int i = 1; i <= 6; ++i)
--- a/test/fleet-share_test.cc
+++ b/test/fleet-share_test.cc
@@ -21,8 +21,8 @@
     return FleetShare::create({ .window = window, .staleListPolicy = staleListPolicy, .staleAfter = milliseconds(1500) }, start).value();
 }
 
-/// A published list that changes, and entries that read it late: each read gives any version that stood in the last
-/// two seconds, and at most a second passes between reads. So the list lags by three seconds at most.
+/// A published list that changes, and entries that read it late: each read returns any version that was current in the
+/// last two seconds, and at most a second passes between reads. So the list lags by three seconds at most.
 class LaggingList {
 public:
     explicit LaggingList(unsigned seed)
@@ -104,10 +104,11 @@
 
 } // namespace
 
-TEST_CASE("FleetShare: the shares of all entries never exceed one while the list changes under them")
+TEST_CASE("FleetShare: the sum of all entries' shares never exceeds one while the list changes")
 {
-    // An instance is replaced: one entry's list names six, another's five, and a third is on neither. With 1/6 and 1/5
-    // side by side the organisation's limit is passed, and with it what the engines were sized for.
+    // An instance is replaced: one entry's list has six names, another's five, and a third entry is on neither. If
+    // shares of 1/6 and 1/5 were used at the same time, the organisation's limit, and with it the capacity planned for
+    // the engines, would be exceeded.
     double largest = 0;
     for (unsigned seed = 0; seed < 40; ++seed) {
         LaggingList list(seed);
@@ -120,7 +121,7 @@
     CHECK(largest > 0.99);
 }
 
-TEST_CASE("FleetShare: shrinks at once, grows after the window, and starts with nothing")
+TEST_CASE("FleetShare: a share starts at zero, shrinks immediately and grows after the window")
 {
     auto share = makeShare();
     share.onInstanceList(6, true, start);
@@ -136,7 +137,7 @@
     CHECK(share.at(now + seconds(6)) == 0);
 }
 
-TEST_CASE("FleetShare: the yield is the exact integral, also when nobody looked while the share changed")
+TEST_CASE("FleetShare: the integral is exact, also when it was not queried while the share changed")
 {
     auto watched = makeShare();
     auto unwatched = makeShare();
@@ -150,10 +151,11 @@
     CHECK(unwatched.integralUntil(start + seconds(20)) == Approx(10.0 / 4 + 7.0 / 2));
 }
 
-TEST_CASE("FleetShare: an entry cut off from the list holds its share or gives it up, as it was told")
+TEST_CASE("FleetShare: an entry without access to the list keeps its share or releases it, as configured")
 {
-    // An entry can serve clients but not read the list, which has dropped it. The others grow a window later. Which of
-    // the two promises then bends is the operator's choice: the sum of the limit, or service while the list is down.
+    // An entry can serve clients but cannot read the list, which has dropped it. The other entries' shares grow one
+    // window later. The operator chooses which guarantee is given up: the sum of the limit, or service during an outage
+    // of the list.
     auto keeping = makeShare(StaleListPolicy::KeepShare);
     auto releasing = makeShare(StaleListPolicy::ReleaseShare);
     auto other = makeShare();
--- a/test/organisation-limits_test.cc
+++ b/test/organisation-limits_test.cc
@@ -35,7 +35,7 @@
     return limits;
 }
 
-/// Entries that share a limit over a network that loses, doubles and delays what they send each other.
+/// Entries that share a limit over a network that loses, duplicates and delays their messages.
 class LendingFleet {
 public:
     explicit LendingFleet(std::size_t n, unsigned seed = 1)
@@ -88,13 +88,13 @@
     int draw(int low, int high) { return boost::random::uniform_int_distribution<int>(low, high)(m_generator); }
 
     bool isFaulty { false };
-    /// Entries below this index cannot reach those from it on.
+    /// Entries below this index cannot reach those from this index on.
     std::size_t partitionIndex { 0 };
 
     int accepted() const { return m_accepted; }
     bool isBorrowing() const { return m_isBorrowing; }
     double admitted() const { return m_admitted; }
-    /// Largest excess over rate x time in any stretch of time; the burst bounds it.
+    /// Largest excess over rate x time in any time interval; bounded by the burst.
     double largestBurst() const { return m_largestBurst; }
 
 private:
@@ -112,7 +112,7 @@
                 continue;
             int copies = isFaulty ? draw(0, 3) : 1;
             for (int i = 0; i < copies; ++i) {
-                // Some come after the lease has ended.
+                // Some messages arrive after the lease has expired.
                 auto delay = isFaulty ? milliseconds(draw(0, 9) ? draw(1, 300) : draw(1000, 9000)) : milliseconds(2);
                 m_messages.push_back({ now + delay, to, effect });
             }
@@ -143,8 +143,8 @@
 
 TEST_CASE("OrganisationLimits: an organisation whose clients all use one entry gets most of its limit by lending")
 {
-    // A caterer's script keeps to one address. With a fixed sixth of the limit it would be refused at a sixth of what
-    // it pays for, while the other entries' shares lie unused.
+    // All requests of an organisation arrive at one entry. With a fixed share of one sixth they would be refused at a
+    // sixth of the organisation's limit, while the shares of the other entries are unused.
     LendingFleet fleet(6);
     auto now = start + seconds(7);
     for (; now < start + seconds(67); now += milliseconds(5)) {
@@ -157,11 +157,11 @@
     CHECK(fleet.largestBurst() <= rate * burstSeconds);
 }
 
-TEST_CASE("OrganisationLimits: the sum over all entries keeps to the limit whatever happens to grants and entries")
+TEST_CASE("OrganisationLimits: the sum over all entries stays within the limit whatever happens to grants and entries")
 {
-    // Grants and requests are lost, doubled and late, the fleet is cut in two and joined again, entries restart with
-    // empty memory, some are paused past their leases. Large requests make entries borrow more than they use; then
-    // the callers of all entries come at once.
+    // Grants and lend requests are lost, duplicated and delayed, the network is partitioned and healed, entries restart
+    // with empty memory, and some are paused beyond their leases. Large requests make entries borrow more than they
+    // use; then requests arrive at all entries at once.
     double largest = 0;
     int accepted = 0;
     for (unsigned seed = 1; seed <= 200; ++seed) {
@@ -194,10 +194,10 @@
     CHECK(accepted > 500);
 }
 
-TEST_CASE("OrganisationLimits: many organisations short at once do not flood the peers with requests")
+TEST_CASE("OrganisationLimits: many organisations at their limits at once do not flood the peers with lend requests")
 {
-    // A morning rush: two hundred organisations at their limits, each refused a hundred times a second. If each asked
-    // peers on its own, lending would take many times what an entry may spend on control traffic.
+    // Two hundred organisations are at their limits, each refused a hundred times a second. If each contacted peers
+    // independently, lending would exceed the control traffic that an entry may use many times over.
     auto limits = makeLimits(0);
     limits.onInstanceList({ nameOf(0), nameOf(1), nameOf(2) }, start);
     std::vector<OrganisationName> names;
@@ -214,7 +214,7 @@
     CHECK(effects.size() >= 40 * 4);
 }
 
-TEST_CASE("OrganisationLimits: a grant is used once, by the incarnation that asked, within its lease")
+TEST_CASE("OrganisationLimits: a grant is used once, by the incarnation that requested it, within its lease")
 {
     auto lender = makeLimits(0);
     auto borrower = makeLimits(1);
@@ -223,7 +223,7 @@
     borrower.onInstanceList(names, start);
     auto now = start + seconds(20);
     LimitEffects effects;
-    // Half of 4,000 is the borrower's own; it needs the lender's for this.
+    // Half of 4,000 is the borrower's own share; this request also needs the lender's.
     auto decision = borrower.admit(cafe, Tokens(2500), now, effects);
     REQUIRE(decision.outcome == LimitOutcome::TokenLimit);
     CHECK(decision.isBorrowing);
@@ -234,18 +234,18 @@
     CHECK(grant.tokens == Approx(1000));
     CHECK(lender.availableTokens(cafe, now + milliseconds(2)) == Approx(1000));
 
-    SECTION("a doubled request is not granted twice")
+    SECTION("a duplicated request is not granted twice")
     {
         CHECK(lender.onLendRequest(effects[0].request, now + milliseconds(3)).empty());
     }
-    SECTION("a doubled grant is accepted once")
+    SECTION("a duplicated grant is accepted once")
     {
         CHECK(borrower.onLendGrant(grant, now + milliseconds(4)));
         CHECK_FALSE(borrower.onLendGrant(grant, now + milliseconds(5)));
         CHECK(borrower.availableTokens(cafe, now + milliseconds(5)) == Approx(3000));
         CHECK(borrower.admit(cafe, Tokens(2500), now + milliseconds(5), effects).outcome == LimitOutcome::Admitted);
     }
-    SECTION("a grant on its way is not reported as used up")
+    SECTION("a grant in transit is not reported as used up")
     {
         LimitEffects again;
         borrower.admit(cafe, Tokens(2500), now + milliseconds(50), again);
@@ -262,14 +262,14 @@
     {
         CHECK_FALSE(borrower.onLendGrant(grant, now + seconds(5)));
     }
-    SECTION("what was not used ends with the lease, at the borrower before the lender")
+    SECTION("an unused amount expires with the lease, at the borrower before the lender")
     {
         CHECK(borrower.onLendGrant(grant, now + milliseconds(4)));
         CHECK(lender.availableTokens(cafe, now + seconds(5)) == Approx(1000));
         CHECK(borrower.availableTokens(cafe, now + seconds(5)) == Approx(2000));
         CHECK(lender.availableTokens(cafe, now + seconds(7)) > 1000);
     }
-    SECTION("a restarted borrower refuses grants to its predecessor")
+    SECTION("a restarted borrower refuses grants to its previous incarnation")
     {
         auto restarted = makeLimits(1, now, 2);
         restarted.onInstanceList(names, now);
@@ -277,14 +277,14 @@
         restarted.admit(cafe, Tokens(2500), now, again);
         REQUIRE(again[0].request.serial == grant.serial);
         CHECK_FALSE(restarted.onLendGrant(grant, now + milliseconds(4)));
-        // Nor does what it says of its own serials free what its predecessor may still use.
+        // The new incarnation's serials must not release what its predecessor may still use.
         again[0].request.serial = 10;
         again[0].request.spentUpTo = 9;
         lender.onLendRequest(again[0].request, now + milliseconds(5));
         CHECK(lender.availableTokens(cafe, now + milliseconds(5)) == Approx(200));
         CHECK(lender.availableTokens(cafe, now + seconds(5)) == Approx(200));
     }
-    SECTION("a peer cannot grant more than was asked, nor answer for another")
+    SECTION("a peer cannot grant more than was requested, nor on behalf of another peer")
     {
         auto inflated = grant;
         inflated.tokens = 1e9;
@@ -298,7 +298,7 @@
     }
 }
 
-TEST_CASE("OrganisationLimits: an answer longer than estimated is paid for by what follows")
+TEST_CASE("OrganisationLimits: a response longer than estimated is deducted from later admissions")
 {
     auto limits = makeLimits(0);
     limits.onInstanceList({ nameOf(0) }, start);
@@ -318,7 +318,7 @@
     CHECK(limits.availableTokens(cafe, now + seconds(2)) <= 4000);
 }
 
-TEST_CASE("OrganisationLimits: requests are limited beside tokens, and an organisation without a limit is not")
+TEST_CASE("OrganisationLimits: requests are limited as well as tokens, and an organisation without a limit is not limited")
 {
     auto limits = makeLimits(0);
     OrganisationName counted("counted");
--- a/test/retry-policy_test.cc
+++ b/test/retry-policy_test.cc
@@ -32,8 +32,8 @@
 
 TEST_CASE_METHOD(Fixture, "RetryPolicy: a request that may have run and is not repeatable is answered, never sent again")
 {
-    // A dispatcher books a van; the connection to the engine breaks after the request was written.
-    // The booking may stand already: a second attempt would send two vans to one wedding.
+    // The connection to the engine breaks after the request was written, so the request may have run. A second attempt
+    // could execute it twice, for example book two vans instead of one.
     auto decision = decide(attemptOf(Verdict::MayHaveRun, false));
     CHECK(decision.action == RetryAction::Answer);
     CHECK(decision.reason == RetryReason::MayHaveRun);
@@ -42,17 +42,17 @@
     CHECK(decision.retryAfter >= seconds(1));
 }
 
-TEST_CASE_METHOD(Fixture, "RetryPolicy: nothing ran, so even a request that is not repeatable goes to another server")
+TEST_CASE_METHOD(Fixture, "RetryPolicy: a request that has not run goes to another server even when it is not repeatable")
 {
     auto decision = decide(attemptOf(Verdict::NotRun, false));
     CHECK(decision.action == RetryAction::Retry);
     CHECK(decision.at > start);
 }
 
-TEST_CASE_METHOD(Fixture, "RetryPolicy: an answer that has begun is resumed at its offset or cut, never begun anew")
+TEST_CASE_METHOD(Fixture, "RetryPolicy: a response that has begun is resumed at its offset or truncated, never restarted")
 {
-    // Half a letter is on the owner's screen when the engine's connection dies. A new run would draw other words:
-    // the owner would file a letter made of two halves that do not belong together.
+    // Half of the response has been delivered when the engine's connection breaks. A new run would sample different
+    // tokens, so the client would get a response made of two halves that do not belong together.
     auto attempt = attemptOf(Verdict::MayHaveRun, true);
     attempt.delivered = OutputOffset(100);
     CHECK(decide(attempt).reason == RetryReason::OutputBegan);
@@ -64,7 +64,7 @@
     CHECK(decision.resumeAt == OutputOffset(100));
 }
 
-TEST_CASE_METHOD(Fixture, "RetryPolicy: no attempt is begun that cannot end before the deadline")
+TEST_CASE_METHOD(Fixture, "RetryPolicy: no attempt is started that cannot end before the deadline")
 {
     auto attempt = attemptOf(Verdict::NotRun, true);
     attempt.expectedService = seconds(30);
@@ -75,10 +75,10 @@
     CHECK(decide(attempt).reason == RetryReason::TooManyAttempts);
 }
 
-TEST_CASE("RetryBudget: with half of the fleet failing, work sent stays within 1.1 of work asked")
+TEST_CASE("RetryBudget: with half of the fleet failing, the requests sent stay within 1.1 of the requests received")
 {
-    // Half of the engines fail every request. Each client still gets one request in; were every failure retried up to
-    // the attempt limit, the healthy half would get nearly twice its load and fail too.
+    // Half of the engines fail every request. Each client still gets one request in; if every failure were retried up
+    // to the attempt limit, the healthy half would get nearly twice its load and fail too.
     auto budget = RetryBudget::create({}).value();
     auto policy = RetryPolicy::create({}).value();
     Generator generator(11);
@@ -131,7 +131,7 @@
     CHECK(budget.size() == 0);
 }
 
-TEST_CASE("Backoff: delays double up to the ceiling and callers that failed together come back spread out")
+TEST_CASE("Backoff: delays double up to the ceiling, and callers that failed together retry at different times")
 {
     auto backoff = Backoff::create({ milliseconds(20), 2, milliseconds(100) }).value();
     Generator generator(3);
--- a/test/router_test.cc
+++ b/test/router_test.cc
@@ -69,10 +69,10 @@
 
 } // namespace
 
-TEST_CASE_METHOD(RouterFixture, "Router: between two load reports own requests are spread, not piled on the idlest server")
+TEST_CASE_METHOD(RouterFixture, "Router: between two load reports this entry's requests are spread, not all sent to the idlest server")
 {
-    // Reports lag by a second. Without the count of what was sent since, all requests of that second go to the server
-    // that was idle at the last report, and their callers wait behind each other.
+    // Reports lag by a second. If the requests sent since the last report were not counted, all requests of that second
+    // would go to the server that was idle in the report and queue behind each other.
     for (int i = 0; i < 4; ++i)
         router.onReport(add(fmt::format("e{}", i)), { start, Tokens(90000 + i), 5000 });
     std::map<ServerHandle, int> sent;
@@ -85,8 +85,8 @@
 
 TEST_CASE_METHOD(RouterFixture, "Router: a report sampled before a request was sent does not hide that request")
 {
-    // The report arrives after the request left, but was sampled before: the server looks idle although work is on the
-    // way to it.
+    // The report arrives after the request was sent but was sampled before, so the server looks idle although work is
+    // on the way to it.
     auto a = add("a");
     now += seconds(10);
     send(request());
@@ -96,10 +96,10 @@
     CHECK(router.explain(request(), now)[0].expectedWait == milliseconds(240));
 }
 
-TEST_CASE_METHOD(RouterFixture, "Router: own work that ended since a report was sampled is not taken for another entry's")
+TEST_CASE_METHOD(RouterFixture, "Router: own work that ended after a report was sampled is not counted as another entry's")
 {
-    // A report of 200 tokens arrives when the request that made them has just been answered. Were they counted as the
-    // work of others, the server that answers fastest would look the busiest.
+    // A report of 200 tokens arrives when the request that caused them has just been answered. If they were counted as
+    // the work of other entries, the server that responds fastest would look the busiest.
     auto a = add("a");
     now += seconds(10);
     auto choice = send(request());
@@ -121,9 +121,9 @@
     CHECK(tally(request()).count(servers[0]) == 0);
 }
 
-TEST_CASE_METHOD(RouterFixture, "Router: one odd report does not turn the traffic round")
+TEST_CASE_METHOD(RouterFixture, "Router: a single outlying report does not redirect the traffic")
 {
-    // Reports are snapshots half a second old: a server caught between two bursts is not an idle server.
+    // Reports are snapshots that are half a second old: a server sampled between two bursts is not an idle server.
     auto busy = add("busy");
     auto other = add("other");
     for (int i = 0; i < 20; ++i) {
@@ -134,10 +134,10 @@
     CHECK(tally(request()).count(busy) == 0);
 }
 
-TEST_CASE_METHOD(RouterFixture, "Router: an engine four times slower than the median gets less, and is tried again later")
+TEST_CASE_METHOD(RouterFixture, "Router: an engine four times slower than the median gets fewer requests, and is tried again later")
 {
-    // One engine's fans fail and it steps four times slower while it reports the same backlog as the others. Every
-    // caller sent there watches words drip until the engine is weighed by the gaps seen.
+    // One engine becomes four times slower, for example from overheating, while it reports the same backlog as the
+    // others. Requests sent there are slow until the engine is weighted by the observed token gaps.
     std::vector<ServerHandle> servers;
     servers.reserve(4);
     for (int i = 0; i < 4; ++i) {
@@ -153,9 +153,10 @@
     CHECK(tally(request()).count(servers[0]) == 1);
 }
 
-TEST_CASE_METHOD(RouterFixture, "Router: a crashed server gets nothing until its time is up, then one request at a time")
+TEST_CASE_METHOD(RouterFixture, "Router: a crashed server gets no requests until its ejection ends, then one request at a time")
 {
-    // An engine crashes and restarts broken. Without the limit of one probe every caller of that second fails on it.
+    // An engine crashes and restarts in a faulty state. Without the limit of one probe, every request of that second
+    // would fail on it.
     auto bad = add("bad");
     auto good = add("good");
     add("third");
@@ -193,10 +194,10 @@
     CHECK(router.explain(request(), now).back().state == ServerState::Ejected);
 }
 
-TEST_CASE_METHOD(RouterFixture, "Router: when most servers fail the rest is not left alone with the load")
+TEST_CASE_METHOD(RouterFixture, "Router: when most servers fail, the remaining ones do not get the whole load")
 {
-    // A switch drops packets, and all servers look bad from here. Ejecting them all would refuse every request; ejecting
-    // all but one would drown it.
+    // A switch drops packets, so all servers appear faulty from this entry. If all were ejected, every request would be
+    // refused; if all but one were, that one would be overloaded.
     std::vector<ServerHandle> servers;
     servers.reserve(4);
     for (int i = 0; i < 4; ++i)
@@ -206,7 +207,7 @@
     CHECK(tally(request()).size() == 2);
 }
 
-TEST_CASE_METHOD(RouterFixture, "Router: a leaving or removed server is never chosen, whatever is reported of it")
+TEST_CASE_METHOD(RouterFixture, "Router: a leaving or removed server is never chosen, whatever is reported for it")
 {
     auto a = add("a");
     auto b = add("b");
@@ -225,7 +226,7 @@
     CHECK(add("c") == c);
 }
 
-TEST_CASE_METHOD(RouterFixture, "Router: a request is not sent again to a server that it was tried at")
+TEST_CASE_METHOD(RouterFixture, "Router: a request is not sent again to a server at which it was attempted")
 {
     auto a = add("a");
     auto b = add("b");
@@ -238,10 +239,10 @@
     CHECK_FALSE(router.choose(it, now, generator));
 }
 
-TEST_CASE_METHOD(RouterFixture, "Router: a shared prefix goes where it is cached, and spreads before it makes a hot spot")
+TEST_CASE_METHOD(RouterFixture, "Router: requests with a shared prefix go where it is cached, and spread before they overload the server")
 {
-    // All letters of a ward begin with the same notice. Sent to one engine they share its cache; sent only there they
-    // queue up while the other engines idle.
+    // Many requests begin with the same prefix. Sent to one engine they share its cache, but if all of them were sent
+    // there, they would queue up while the other engines are idle.
     for (int i = 0; i < 4; ++i)
         add(fmt::format("e{}", i));
     auto prefix = prefixBlocks(std::string(8192, 'x'), 1, {});
@@ -259,14 +260,14 @@
     CHECK(sent.size() == 4);
     auto rows = router.explain(it, now);
     auto [least, most] = std::minmax_element(rows.begin(), rows.end(), [](auto& a, auto& b) { return a.expectedWait < b.expectedWait; });
-    // The prefill of 400 ms that the cache saves, twice its weight, and one request.
+    // The prefill of 400 ms that the cache saves, at twice its weight, and one request.
     CHECK(most->expectedWait <= least->expectedWait + milliseconds(1220));
     router.onCacheLost(first.server);
     for (auto& row : router.explain(it, now))
         CHECK((row.id == *router.idOf(first.server)) == (row.cachedBlocks == 0));
 }
 
-TEST_CASE_METHOD(RouterFixture, "Router: home is left only when its wait passes the threshold")
+TEST_CASE_METHOD(RouterFixture, "Router: the local data centre is left only when its wait exceeds the threshold")
 {
     auto home = add("home");
     auto near = add("near", "ba-dinh");
@@ -286,7 +287,7 @@
     CHECK(router.explain(request(), now)[0].id == *router.idOf(choose(request()).server));
 }
 
-TEST_CASE("PrefixIndex: evicted and aged prefixes are forgotten, also when their slot has a new server")
+TEST_CASE("PrefixIndex: evicted and expired prefixes are not found, also when their slot has a new server")
 {
     auto index = PrefixIndex::create({ .capacity = 64, .expireAfter = seconds(300) }).value();
     auto blocks = prefixBlocks(std::string(3000, 'a') + "tail", 9, {});
--- a/test/ticket_test.cc
+++ b/test/ticket_test.cc
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("TicketCodec: a ticket is read back as it was written, in a header-safe text")
+TEST_CASE("TicketCodec: a ticket is decoded as it was encoded, from a header-safe text")
 {
     auto text = TicketCodec::encode(sample(), cafe).value().value();
     CHECK(text.size() <= 256);
@@ -34,16 +34,16 @@
 
 TEST_CASE("TicketCodec: another organisation cannot use a ticket")
 {
-    // A ticket leaks into another customer's logs and is sent with that customer's credentials. Accepted, it would
-    // attach to the first customer's run and show its answer.
+    // A ticket leaks to another organisation and is sent with that organisation's credentials. If it were accepted, it
+    // would attach to the first organisation's run and reveal its response.
     auto text = TicketCodec::encode(sample(), cafe).value().value();
     CHECK(TicketCodec::decode(text, OrganisationName("other")).error().code == ErrorCode::MalformedInput);
 }
 
-TEST_CASE("TicketCodec: a ticket with one damaged byte is refused, not read as another ticket")
+TEST_CASE("TicketCodec: a ticket with one damaged byte is refused, not decoded as another ticket")
 {
-    // A phone's keyboard or a proxy changes a character. Read as another ticket, it would make a new request of a
-    // resend, and the letter would be filed twice.
+    // A client or a proxy changes a character. If the text were read as another ticket, a resend would become a new
+    // request and run twice.
     auto text = TicketCodec::encode(sample(), cafe).value().value();
     for (std::size_t i = 0; i < text.size(); ++i) {
         for (int c = 0; c < 256; ++c) {
@@ -57,7 +57,7 @@
         CHECK_FALSE(TicketCodec::decode(text.substr(0, n), cafe).has_value());
 }
 
-TEST_CASE("TicketCodec: random bytes are refused without harm")
+TEST_CASE("TicketCodec: random bytes are refused safely")
 {
     Generator generator(20261202);
     boost::random::uniform_int_distribution<int> byte(0, 255);
