--- a/src/policy/organisation-limits.cc
+++ b/src/policy/organisation-limits.cc
@@ -63,7 +63,7 @@
     {
     }
 
-    LimitedOrganisation* findRefilled(const OrganisationName& name, TimePoint now)
+    LimitedOrganisation* findAndRefill(const OrganisationName& name, TimePoint now)
     {
         auto it = organisations.find(name);
         if (it == organisations.end())
@@ -98,7 +98,7 @@
         for (std::size_t i = 0; i < n; ++i) {
             // Peers are contacted in turn, so that each peer soon learns which of its grants are used up.
             auto& peer = peers[organisation.nextPeer++ % peers.size()];
-            auto spentUpTo = spentUpToAt(organisation, peer);
+            auto spentUpTo = highestSpentSerial(organisation, peer);
             LendRequest request { self, incarnation, ++lastSerial, spentUpTo, name, neededRequests, neededTokens };
             organisation.pendingLoans.push_back({ request.serial, peer, now, request.requests, request.tokens });
             effects.push_back({ LimitEffectKind::SendLendRequest, peer, request, {} });
@@ -121,7 +121,7 @@
     }
 
     /// Highest serial up to which no grant of `peer` is held or can still be accepted.
-    std::uint64_t spentUpToAt(const LimitedOrganisation& organisation, const InstanceId& peer) const
+    std::uint64_t highestSpentSerial(const LimitedOrganisation& organisation, const InstanceId& peer) const
     {
         auto spent = lastSerial;
         auto excludeHeld = [&](auto& leases) {
@@ -217,7 +217,7 @@
 
 LimitDecision OrganisationLimits::admit(const OrganisationName& name, Tokens estimate, TimePoint now, LimitEffects& effects)
 {
-    auto* organisation = m_state->findRefilled(name, now);
+    auto* organisation = m_state->findAndRefill(name, now);
     if (!organisation)
         return {};
     auto tokens = static_cast<double>(std::max(estimate, Tokens(0)).value());
@@ -237,14 +237,14 @@
 
 void OrganisationLimits::settle(const OrganisationName& name, Tokens estimate, Tokens actual, TimePoint now)
 {
-    auto* organisation = m_state->findRefilled(name, now);
+    auto* organisation = m_state->findAndRefill(name, now);
     if (organisation && organisation->tokens.isLimited())
         organisation->tokens.refund(static_cast<double>((estimate - actual).value()));
 }
 
 LimitEffects OrganisationLimits::onLendRequest(const LendRequest& request, TimePoint now)
 {
-    auto* organisation = m_state->findRefilled(request.organisation, now);
+    auto* organisation = m_state->findAndRefill(request.organisation, now);
     if (!organisation || request.borrower == m_state->self || !m_state->isNewRequest(request))
         return {};
     organisation->requests.release(request.borrower, request.borrowerIncarnation, request.spentUpTo);
@@ -265,7 +265,7 @@
 
 bool OrganisationLimits::onLendGrant(const LendGrant& grant, TimePoint now)
 {
-    auto* organisation = m_state->findRefilled(grant.organisation, now);
+    auto* organisation = m_state->findAndRefill(grant.organisation, now);
     if (!organisation || grant.borrowerIncarnation != m_state->incarnation)
         return false;
     auto& pendingLoans = organisation->pendingLoans;
@@ -294,7 +294,7 @@
 
 double OrganisationLimits::availableTokens(const OrganisationName& organisation, TimePoint now)
 {
-    auto* it = m_state->findRefilled(organisation, now);
+    auto* it = m_state->findAndRefill(organisation, now);
     return it ? it->tokens.available() : std::numeric_limits<double>::infinity();
 }
 
--- a/test/claim-protocol_test.cc
+++ b/test/claim-protocol_test.cc
@@ -115,7 +115,7 @@
 
 /// Runs every order of the two entries' steps with the faults. Returns the maximum number of runs of the key in any
 /// order.
-int maxRuns(const std::vector<BackendServerId>& homesA, const std::vector<BackendServerId>& homesB, const std::vector<Fault>& faults, int& leastRuns)
+int maxRuns(const std::vector<BackendServerId>& homesA, const std::vector<BackendServerId>& homesB, const std::vector<Fault>& faults, int& minRuns)
 {
     constexpr unsigned stepsInOrder = 10;
     int most = 0;
@@ -130,7 +130,7 @@
         }
         while (simulation.step(0) || simulation.step(1)) { }
         most = std::max(most, simulation.runs());
-        leastRuns = std::min(leastRuns, simulation.runs());
+        minRuns = std::min(minRuns, simulation.runs());
     }
     return most;
 }
@@ -219,15 +219,15 @@
     // the client's resend runs through another entry at another agent. Then the first entry continues and sends its
     // run.
     auto runner = establishedTable();
-    auto witness = establishedTable();
+    auto secondHome = establishedTable();
     auto otherRunner = establishedTable();
     auto first = claimOf(1);
     runner.onClaim(first, start);
-    witness.onClaim(first, start);
+    secondHome.onClaim(first, start);
     auto second = claimOf(2);
     auto later = start + seconds(611);
     REQUIRE(otherRunner.onClaim(second, later).answer == ClaimAnswer::Granted);
-    REQUIRE(witness.onClaim(second, later).answer == ClaimAnswer::Granted);
+    REQUIRE(secondHome.onClaim(second, later).answer == ClaimAnswer::Granted);
     REQUIRE(otherRunner.onRun(key, second.claim, Incarnation(1), later) == RunAnswer::Run);
     CHECK(runner.onRun(key, first.claim, Incarnation(1), later) == RunAnswer::NotClaimed);
 }
@@ -257,8 +257,8 @@
     table.onRelease(key, protocol.request().claim);
     CHECK(table.size() == 0);
     CHECK(protocol.isDone());
-    ClaimProtocol homeless(claimOf(1), {});
-    CHECK(homeless.start()[0].refusal == ClaimRefusal::NoHomes);
+    ClaimProtocol withoutHomes(claimOf(1), {});
+    CHECK(withoutHomes.start()[0].refusal == ClaimRefusal::NoHomes);
 }
 
 TEST_CASE("ClaimProtocol: a resend attaches to the existing run, and claims are kept when the runner becomes unreachable")
