--- a/include/swiftloft/policy/crash-quarantine.h
+++ b/include/swiftloft/policy/crash-quarantine.h
@@ -71,8 +71,7 @@
     seconds suspicionPeriod { 600 };
     seconds quarantinePeriod { 3600 };
     std::size_t capacity { 4096 };
-    /// Messages that have been forwarded more often are dropped. Well above the number of hops that any propagation
-    /// needs.
+    /// Messages that have passed through this many nodes are dropped. Well above the number that any propagation needs.
     std::uint32_t maximumHops { 16 };
 };
 
