--- a/include/swiftloft/policy/prefix-index.h
+++ b/include/swiftloft/policy/prefix-index.h
@@ -12,7 +12,7 @@
 
 namespace swiftloft::policy {
 
-/// Hash of a prompt from its start to the end of one block: equal hashes mean equal prefixes.
+/// Hash of a prompt from its start to the end of one block; equal hashes mean equal prefixes.
 using BlockHash = Strong<struct BlockHashTag, std::uint64_t>;
 
 struct PrefixBlockOptions {
@@ -20,25 +20,26 @@
     std::size_t maximumBlocks { 8 };
 };
 
-/// Hashes of the prefixes of `prompt` that end at whole blocks, shortest first. `salt` keeps models and adapters apart.
+/// Hashes of the prefixes of `prompt` that end at whole blocks, shortest first. `salt` separates models and adapters.
 std::vector<BlockHash> prefixBlocks(std::string_view prompt, std::uint64_t salt, const PrefixBlockOptions& options);
 
 struct PrefixIndexOptions {
-    /// Places remembered; rounded up to a power of two of buckets of four. One place takes 16 bytes.
+    /// Number of entries, rounded up to a power of two of buckets of four. One entry takes 16 bytes.
     std::size_t capacity { 1 << 16 };
-    /// A place not confirmed for so long is no longer believed: engines evict without telling.
-    seconds forgetAfter { 300 };
+    /// Time after which an unconfirmed entry is ignored: engines evict cached prefixes without reporting it.
+    seconds expireAfter { 300 };
 };
 
-/// Which backend servers lately held which prompt prefix in their cache, as far as this entry knows.
+/// Approximate index of the prompt prefixes that backend servers have recently cached, as observed by this entry.
 ///
-/// A four-way set-associative table: fixed memory, one cache line a lookup, the least recently used of four makes room.
-/// It is a hint. A wrong entry costs one prefill, so lost and late cache events need no repair.
+/// A four-way set-associative table: memory is fixed, a lookup touches one cache line, and the least recently used of
+/// four entries is replaced. The index is a hint. A wrong entry costs one prefill, so lost and late cache events need
+/// no repair.
 class PrefixIndex {
 public:
     struct Holder {
         ServerHandle server;
-        /// Blocks of the prompt the server is believed to hold.
+        /// Number of blocks of the prompt that the server is expected to have cached.
         std::size_t blocks { 0 };
     };
     static constexpr std::size_t maximumHolders = 4;
@@ -46,38 +47,38 @@
 
     static Result<PrefixIndex> create(PrefixIndexOptions options);
 
-    /// Notes that `server` computed, and so now caches, every prefix in `blocks`.
-    void remember(std::span<const BlockHash> blocks, ServerHandle server, TimePoint now);
-    /// Fills `holders` with the servers of the longest prefix that has any; returns how many there are.
+    /// Records that `server` has computed, and therefore caches, every prefix in `blocks`.
+    void insert(std::span<const BlockHash> blocks, ServerHandle server, TimePoint now);
+    /// Fills `holders` with the servers of the longest prefix that has any, and returns their number.
     std::size_t find(std::span<const BlockHash> blocks, TimePoint now, Holders& holders) const;
     void evict(BlockHash block, ServerHandle server);
-    /// Forgets all of `server` in constant time: after a restart, or a gap in its cache events.
-    void forget(ServerHandle server);
+    /// Invalidates all entries of `server` in constant time, after a restart or a gap in its cache events.
+    void invalidate(ServerHandle server);
 
 private:
     static constexpr std::size_t ways = maximumHolders;
     static constexpr std::uint32_t noEpoch = 0;
 
-    struct Place {
+    struct Entry {
         std::uint32_t tag { 0 };
         std::uint32_t slot { 0 };
         std::uint32_t epoch { noEpoch };
         std::uint32_t usedAt { 0 };
     };
     struct alignas(64) Bucket {
-        std::array<Place, ways> places;
+        std::array<Entry, ways> entries;
     };
 
-    PrefixIndex(std::size_t buckets, seconds forgetAfter);
+    PrefixIndex(std::size_t buckets, seconds expireAfter);
     Bucket& bucketOf(BlockHash block) { return m_buckets[block.value() & (m_buckets.size() - 1)]; }
     const Bucket& bucketOf(BlockHash block) const { return m_buckets[block.value() & (m_buckets.size() - 1)]; }
-    bool isBelieved(const Place& place, std::uint32_t tag, std::uint32_t now) const;
-    void rememberBlock(BlockHash block, ServerHandle server, std::uint32_t now);
+    bool isValid(const Entry& entry, std::uint32_t tag, std::uint32_t now) const;
+    void insertBlock(BlockHash block, ServerHandle server, std::uint32_t now);
 
     std::vector<Bucket> m_buckets;
     std::vector<std::uint32_t> m_epochs;
     std::vector<std::uint32_t> m_generations;
-    std::uint32_t m_forgetAfter;
+    std::uint32_t m_expireAfter;
 };
 
 } // namespace swiftloft::policy
--- a/src/gateway/configuration.cc
+++ b/src/gateway/configuration.cc
@@ -24,28 +24,28 @@
 {
     std::shared_ptr<Configuration> configuration(new Configuration(std::move(parts)));
     for (auto& route : configuration->m_parts.routes) {
-        auto fault = configuration->faultOf(route);
-        if (!fault.empty())
-            return Error { ErrorCode::InvalidArgument, fmt::format("route {}: {}", route.name, fault) };
+        auto problem = configuration->validationError(route);
+        if (!problem.empty())
+            return Error { ErrorCode::InvalidArgument, fmt::format("route {}: {}", route.name, problem) };
     }
-    if (!configuration->index())
-        return Error { ErrorCode::InvalidArgument, "two routes have one host and prefix; give each its own prefix" };
+    if (!configuration->buildIndexes())
+        return Error { ErrorCode::InvalidArgument, "two routes share host and prefix; give each its own prefix" };
     return std::shared_ptr<const Configuration>(std::move(configuration));
 }
 
-std::string Configuration::faultOf(const Route& route) const
+std::string Configuration::validationError(const Route& route) const
 {
     auto& prefix = route.prefix;
     if (prefix.empty() || prefix.front() != '/' || prefix.back() != '/')
         return fmt::format("prefix \"{}\" must begin and end with a slash", prefix);
     if (route.services.empty())
-        return "names no service";
+        return "must name at least one service";
     if (route.timeout <= milliseconds(0))
-        return "its timeout must be positive";
+        return "timeout must be positive";
     return {};
 }
 
-bool Configuration::index()
+bool Configuration::buildIndexes()
 {
     for (std::size_t n = 0; n < m_parts.routes.size(); ++n) {
         auto& route = m_parts.routes[n];
@@ -61,7 +61,7 @@
 
 const Route* Configuration::findRoute(std::string_view host, std::string_view path) const
 {
-    // Prefixes end with a slash, so only the slashes of the path can end one.
+    // Prefixes end with a slash, so only a slash of the path can be the end of a match.
     for (auto end = path.rfind('/'); end != std::string_view::npos; end = end == 0 ? std::string_view::npos : path.rfind('/', end - 1)) {
         auto it = m_routes.find(routeKey(host, path.substr(0, end + 1)));
         if (it != m_routes.end())
--- /dev/null
+++ b/src/gateway/control-message.h
@@ -0,0 +1,217 @@
+#pragma once
+
+#include "src/gateway/model.h"
+#include "src/gateway/protocol.h"
+
+#include <swiftloft/membership/types.h>
+#include <swiftloft/result.h>
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/udp.hpp>
+
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <variant>
+#include <vector>
+
+/// Messages that entries and agents exchange in datagrams. Each message is self-contained and is repeated, so that
+/// loss, duplication and reordering do no harm.
+namespace swiftloft::gateway {
+
+enum class EntryState : std::uint8_t {
+    /// Lacks the configuration or the servers that it needs to serve.
+    Starting,
+    Serving,
+    /// Finishes its requests; clients are sent elsewhere.
+    Leaving,
+};
+
+/// An entry as it describes itself or as another entry passes it on.
+struct EntryMember {
+    /// Address for datagrams and pulls. It identifies the entry.
+    Endpoint control;
+    Incarnation incarnation;
+    /// Incremented by the entry itself in each round of hellos.
+    std::uint64_t heartbeat { 0 };
+    Endpoint clients;
+    DataCentreName dataCentre;
+    EntryState state { EntryState::Starting };
+    /// The entry watches the platform's store, and the store answers it.
+    bool isWatching { false };
+};
+
+/// Identifies an incarnation of a server by a hash, to keep datagrams small.
+using ServerHash = Strong<struct ServerHashTag, std::uint64_t>;
+ServerHash hashOf(const ServerIncarnation& incarnation);
+/// Identifies an entry by a hash of its control address, which all entries compute in the same way.
+membership::NodeKey keyOf(const Endpoint& control);
+
+/// A server that is leaving or has left.
+struct LeavingServer {
+    ServerHash server;
+    /// Time for which this report is still passed on. Relative, as there is no common clock.
+    milliseconds remaining { 0 };
+    /// Position at which its entry was removed from the list; unset where the server itself or the list reported that
+    /// it leaves.
+    std::optional<StorePosition> removedAt {};
+};
+
+/// An engine whose work takes this many times longer than usual counts as slow: it slows down its whole group.
+constexpr double slowPace { 1.25 };
+
+/// A rank whose group does not accept requests or whose engine is slow, as passed on by an entry that receives its
+/// agent's status.
+struct DegradedRank {
+    Endpoint address;
+    /// Time since the agent reported it. Relative, as there is no common clock.
+    milliseconds age { 0 };
+    /// The rank's group accepts requests.
+    bool isOpen { false };
+    /// 1 is normal, a higher value is slower.
+    double pace { 1 };
+};
+
+/// Average load of the servers of a service in one data centre.
+struct ServiceLoad {
+    ServiceName service;
+    /// Requests per server.
+    double running { 0 };
+    /// Prompt tokens per server, of requests that have not sent their first event.
+    double promptTokens { 0 };
+};
+
+struct Hello {
+    EntryMember sender;
+    /// Version of the configuration in force; 0 for none.
+    std::uint64_t configuration { 0 };
+    /// Position of the last change of the server list; 0 for none.
+    StorePosition servers;
+    std::vector<EntryMember> members;
+    std::vector<LeavingServer> leaving;
+    /// Number of other entries that the sender knows. A sender that knows few is sent more members.
+    std::size_t knownPeers { 0 };
+    std::vector<DegradedRank> degraded;
+    /// Load in the sender's data centre.
+    std::vector<ServiceLoad> loads;
+};
+
+struct ServerLoad {
+    ServerHash server;
+    std::uint16_t running { 0 };
+    /// Prompt tokens of the requests that have not sent their first event.
+    Tokens promptTokens;
+};
+
+/// The request limit that a server's responses advertised, as passed on by an entry.
+struct LimitReport {
+    ServerHash server;
+    /// Unset when the server no longer advertises a limit.
+    std::optional<RequestRate> rate;
+    /// Time since the server advertised it. Relative, as there is no common clock.
+    milliseconds age { 0 };
+};
+
+/// A server that stalled in the middle of its streams while others went on.
+struct SilentServer {
+    ServerHash server;
+    /// Time for which the server must still be avoided. Relative, as there is no common clock.
+    milliseconds remaining { 0 };
+};
+
+struct LoadUpdate {
+    Incarnation incarnation;
+    std::uint64_t sequence { 0 };
+    std::vector<ServerLoad> servers;
+    std::vector<LimitReport> limits;
+    std::vector<SilentServer> silent;
+};
+
+/// Identifies one formation of a rank group, which ends when any rank restarts.
+using GroupEpoch = Strong<struct GroupEpochTag, std::uint64_t>;
+
+struct RankStatus {
+    Endpoint address;
+    EngineGroupName group;
+    GroupEpoch epoch;
+    RankIndex rank;
+    std::uint32_t ranks { 0 };
+    bool isOpen { false };
+    /// 1 is normal, a higher value is slower.
+    double pace { 1 };
+    /// Start time of the engine's process.
+    ServerStartTime startedAt {};
+    /// The agent has the addresses of all ranks of its group. Until then briefs carry them.
+    bool knowsGroup { false };
+};
+
+struct RankAddress {
+    RankIndex rank;
+    Endpoint address;
+};
+
+struct GroupBrief {
+    EngineGroupName group;
+    GroupEpoch epoch;
+    /// Carries only the sizes of the expert map, the cost of copies and the time of a step without requests.
+    EngineTraits traits;
+    std::vector<RankAddress> ranks;
+};
+
+using ControlMessage = std::variant<Hello, LoadUpdate, RankStatus, GroupBrief>;
+
+/// Kinds of messages, in the order of `ControlMessage`.
+enum class ControlMessageKind : std::uint8_t {
+    Hello,
+    Load,
+    Rank,
+    Brief,
+};
+std::string_view toString(ControlMessageKind kind);
+ControlMessageKind kindOf(const ControlMessage& message);
+
+std::string encode(const ControlMessage& message);
+/// Fails with `MalformedInput` on input that `encode` could not have produced. `words` must be aligned to 8 bytes.
+Result<ControlMessage> decodeMessage(const void* words, std::size_t size);
+
+std::string encode(const PublishedItems& items);
+Result<PublishedItems> decodeItems(std::string_view bytes);
+
+/// UDP socket for control messages. Belongs to the thread of its `io_context`.
+class ControlSocket : public std::enable_shared_from_this<ControlSocket> {
+public:
+    using UdpEndpoint = boost::asio::ip::udp::endpoint;
+    using Handler = std::function<void(const UdpEndpoint& from, ControlMessage message)>;
+    enum class Direction : std::uint8_t {
+        Sent,
+        Received,
+    };
+    using OnDatagram = std::function<void(ControlMessageKind kind, Direction direction, std::size_t bytes)>;
+
+    /// Fails with `Unavailable` when `endpoint` can't be bound.
+    static Result<std::shared_ptr<ControlSocket>> create(boost::asio::io_context& ioContext, const Endpoint& endpoint, Handler handler);
+
+    /// Drops the message if it can't be sent immediately.
+    void send(const Endpoint& to, const ControlMessage& message);
+    void sendEncoded(const Endpoint& to, ControlMessageKind kind, const std::string& bytes);
+    /// Sets a function that is called for each datagram sent or received, to measure how much of a link the control
+    /// traffic takes.
+    void setOnDatagram(OnDatagram hook) { m_onDatagram = std::move(hook); }
+    void stop();
+    Endpoint localEndpoint() const;
+
+private:
+    ControlSocket(boost::asio::io_context& ioContext, Handler handler);
+    void receive();
+
+    boost::asio::ip::udp::socket m_socket;
+    Handler m_handler;
+    OnDatagram m_onDatagram;
+    UdpEndpoint m_sender;
+    /// Aligned words, because Cap'n Proto reads in place.
+    std::vector<std::uint64_t> m_buffer;
+};
+
+} // namespace swiftloft::gateway
--- a/src/gateway/control-state-servers.cc
+++ b/src/gateway/control-state-servers.cc
@@ -4,19 +4,21 @@
 
 #include <algorithm>
 
-/// What an entry believes of the server list: the part of `ControlState` that takes its changes and says which servers are in use.
+/// Server list of an entry: the part of `ControlState` that applies changes of the list and selects the servers in use.
 namespace swiftloft::gateway {
 
 namespace {
 
-/// Entries of the list that were refused and logged; further ones are refused without a line.
-constexpr std::size_t mostRefusedRemembered = 256;
-constexpr std::size_t mostPrinted = 80;
+/// Maximum number of rejected list entries that are logged and remembered. Further ones are rejected without a log
+/// line.
+constexpr std::size_t maxLoggedRejections = 256;
+constexpr std::size_t maxPrintedLength = 80;
 
-/// What others wrote, cut short and without anything that could pass for another field or line of the log.
+/// Returns text from another writer, truncated and without characters that could be mistaken for another field or line
+/// of the log.
 std::string printable(std::string_view text)
 {
-    std::string out(text.substr(0, mostPrinted));
+    std::string out(text.substr(0, maxPrintedLength));
     std::replace_if(
         out.begin(), out.end(), [](unsigned char it) { return it < 0x20 || it > 0x7e || it == '"'; }, '?');
     return out;
@@ -24,21 +26,21 @@
 
 } // namespace
 
-void ControlState::takeServer(const PublishedItem& item, TimePoint now)
+void ControlState::applyServerChange(const PublishedItem& item, TimePoint now)
 {
     if (item.position() < m_servers.position()) {
-        logLeftOut(item);
+        logIgnoredChange(item);
         return;
     }
-    m_serversChangedAt = std::max(m_serversChangedAt, item.position());
+    m_lastServerChange = std::max(m_lastServerChange, item.position());
     BackendServerId id(item.name);
     if (item.isRemoved) {
-        m_refused.erase(item.name);
-        // One that may have lapsed only stays in use for a while, and its document with it.
-        if (auto life = m_servers.remove(now, item.position(), id)) {
-            noteLeaving(m_departures.onRemoved(now, hashOf(*life), item.position()));
+        m_loggedRejections.erase(item.name);
+        // A server whose entry may only have expired stays in use for a while, and so does its document.
+        if (auto incarnation = m_servers.remove(now, item.position(), id)) {
+            markLeavingChanged(m_departures.onRemoved(now, hashOf(*incarnation), item.position()));
             m_serverItems.erase(item.name);
-            noteListChange();
+            markServersChanged();
         }
         log::write(log::Event::ServerListed, "server={} state=gone revision={}", item.name, item.revision);
         return;
@@ -47,67 +49,68 @@
     if (!server) {
         if (m_servers.dropUnreadable(item.position(), id)) {
             m_serverItems.erase(item.name);
-            noteListChange();
+            markServersChanged();
         }
         return;
     }
-    noteDraining(now, { &*server, 1 });
-    bool isNew = m_servers.put(item.position(), *server);
-    keepDocument(item, *server);
-    m_isListChanged = true;
+    recordDraining(now, { &*server, 1 });
+    bool isNew = m_servers.upsert(item.position(), *server);
+    cacheDocument(item, *server);
+    m_isServerListChanged = true;
     if (!isNew)
         return;
-    m_isChanged = true;
+    m_isSnapshotChanged = true;
     log::write(log::Event::ServerListed, "server={} state={} revision={}", item.name, server->state == ServerState::Ready ? "ready" : "draining", item.revision);
 }
 
-void ControlState::noteListChange()
+void ControlState::markServersChanged()
 {
-    m_isChanged = true;
-    m_isListChanged = true;
+    m_isSnapshotChanged = true;
+    m_isServerListChanged = true;
 }
 
-void ControlState::noteDraining(TimePoint now, std::span<const BackendServer> servers)
+void ControlState::recordDraining(TimePoint now, std::span<const BackendServer> servers)
 {
     for (auto& server : servers) {
         if (server.state == ServerState::Draining)
-            noteLeaving(m_departures.onSaid(now, hashOf(server.life())));
+            markLeavingChanged(m_departures.onAnnounced(now, hashOf(server.incarnation())));
     }
 }
 
-/// News is told at once, as a newer list is.
-void ControlState::noteLeaving(bool isNews)
+/// Changes of leaving servers are announced immediately, as a newer list is.
+void ControlState::markLeavingChanged(bool isChanged)
 {
-    m_isChanged |= isNews;
-    m_hasLeavingNews |= isNews;
+    m_isSnapshotChanged |= isChanged;
+    m_isLeavingChanged |= isChanged;
 }
 
-StorePosition ControlState::listedAt(const BackendServer& server) const
+StorePosition ControlState::listedPosition(const BackendServer& server) const
 {
     auto it = m_serverItems.find(server.id.value());
     return it == m_serverItems.end() ? StorePosition {} : it->second.position();
 }
 
-void ControlState::listDepartures(TimePoint now)
+void ControlState::updateDepartures(TimePoint now)
 {
     Departures::List list;
     for (auto& server : m_servers.servers())
-        list[hashOf(server.life())] = { listedAt(server), server.state == ServerState::Ready };
-    noteLeaving(m_departures.setList(now, serversKnownTo(), std::move(list)));
+        list[hashOf(server.incarnation())] = { listedPosition(server), server.state == ServerState::Ready };
+    markLeavingChanged(m_departures.setList(now, knownServerPosition(), std::move(list)));
 }
 
-/// Failure: this entry does not follow the store, and the peers from which it would pull the new list are about to stop.
-/// The word itself is short enough to come with every hello.
-void ControlState::takeLeaving(TimePoint now, const Hello& hello)
+/// Failure: this entry does not watch the store, and the peers from which it would pull the new list are about to stop.
+/// Reports of leaving servers are short enough to be carried by every hello.
+void ControlState::applyLeaving(TimePoint now, const Hello& hello)
 {
     for (auto& it : hello.leaving) {
-        if (it.remaining > helloEvery)
-            noteLeaving(m_departures.onTold(now, it));
+        if (it.remaining > helloInterval)
+            markLeavingChanged(m_departures.onPeerReport(now, it));
     }
 }
 
-/// Says so where the change is later than what is held of the server: the list was known beyond it when it came.
-void ControlState::logLeftOut(const PublishedItem& item) const
+/// Logs an ignored change if it is later than the document held of its server. In that case the list was already known
+/// beyond the change when it arrived.
+void ControlState::logIgnoredChange(const PublishedItem& item) const
 {
     auto it = m_serverItems.find(item.name);
     if (it == m_serverItems.end() || item.position() <= it->second.position())
@@ -116,20 +119,20 @@
     log::write(log::Event::ListChangeLeftOut, "server=\"{}\" era={} revision={} known-era={} known={}", printable(item.name), item.era.value(), item.revision, known.era.value(), known.revision);
 }
 
-/// Nothing for an entry that can't be read. Why it names no server to use is logged.
+/// Returns nothing for an entry that can't be decoded. Logs the reason when the entry names no usable server.
 std::optional<BackendServer> ControlState::decodeServer(const PublishedItem& item)
 {
     if (!item.problem.empty()) {
-        logRefused(item, item.problem);
+        logRejectedEntry(item, item.problem);
         return std::nullopt;
     }
     auto server = m_decoders.decodeServer(item.name, item.document);
     if (!server) {
-        logRefused(item, server.error().message);
+        logRejectedEntry(item, server.error().message);
         return std::nullopt;
     }
     if (!isServiceKnown(*server))
-        logRefused(item, "it names a service that the configuration has not");
+        logRejectedEntry(item, "the entry names a service that the configuration does not define");
     return *server;
 }
 
@@ -143,57 +146,57 @@
     return servers;
 }
 
-/// Keeps the document if it says what is believed of its server, which one about a life that has ended doesn't.
-void ControlState::keepDocument(const PublishedItem& item, const BackendServer& decoded)
+/// Caches the document if it matches the known state of its server. A document about an earlier incarnation does not.
+void ControlState::cacheDocument(const PublishedItem& item, const BackendServer& decoded)
 {
     auto* known = m_servers.find(decoded.id);
     if (known && *known == decoded)
         m_serverItems[item.name] = item;
 }
 
-/// The same for a whole list, of which `decoded` are the entries that could be read, in their order; documents of servers
-/// that are not in use any more go.
-void ControlState::keepDocuments(const PublishedItems& items, const std::vector<BackendServer>& decoded)
+/// Caches the documents of a whole list. `decoded` holds its decodable entries in their order. Documents of servers
+/// that are no longer in use are removed.
+void ControlState::cacheDocuments(const PublishedItems& items, const std::vector<BackendServer>& decoded)
 {
     std::erase_if(m_serverItems, [this](auto& it) { return !m_servers.find(BackendServerId(it.first)); });
     auto item = items.items.begin();
     for (auto& server : decoded) {
         item = std::find_if(item, items.items.end(), [&](auto& it) { return it.name == server.id.value(); });
-        keepDocument(*item++, server);
+        cacheDocument(*item++, server);
     }
 }
 
-/// Failure: another writer fills the list with what can't be used, and each reading of the list logs all of it. One line for
-/// a name and revision, with as much of the name as is safe to print.
-void ControlState::logRefused(const PublishedItem& item, std::string_view problem)
+/// Failure: another writer fills the list with unusable entries, and each read of the list logs all of them. Logs one
+/// line for each name and revision, with as much of the name as is safe to print.
+void ControlState::logRejectedEntry(const PublishedItem& item, std::string_view problem)
 {
-    auto it = m_refused.find(item.name);
-    bool isLogged = it != m_refused.end() && it->second == item.revision;
-    if (isLogged || (it == m_refused.end() && m_refused.size() >= mostRefusedRemembered))
+    auto it = m_loggedRejections.find(item.name);
+    bool isLogged = it != m_loggedRejections.end() && it->second == item.revision;
+    if (isLogged || (it == m_loggedRejections.end() && m_loggedRejections.size() >= maxLoggedRejections))
         return;
-    m_refused[item.name] = item.revision;
+    m_loggedRejections[item.name] = item.revision;
     log::write(log::Event::DocumentRefused, "kind=server name=\"{}\" revision={} problem=\"{}\"", printable(item.name), item.revision, printable(problem));
 }
 
-/// True also while no configuration is known: then nothing is sent anywhere.
+/// Also true while no configuration is known, since no requests are sent then.
 bool ControlState::isServiceKnown(const BackendServer& server) const
 {
     return !m_configuration || m_configuration->findService(server.service);
 }
 
-/// Failure: many servers lose power at once and are back within a second, under new ids at their old addresses, while their
-/// old entries stay listed until their heartbeats are missed. Requests sent to the old ids are turned away one after the
-/// other until their tries are spent. An address belongs to the server that was listed there last.
+/// Failure: many servers lose power at once and are back within a second, under new ids at their old addresses, while
+/// their old entries stay listed until their heartbeats are missed. Requests sent to the old ids are rejected one after
+/// the other until their attempts are exhausted. An address therefore belongs to the server that was listed there last.
 std::vector<BackendServer> ControlState::usableServers() const
 {
     auto servers = m_servers.servers();
-    // Failure: an entry of another writer names a service that does not exist and the address of a server that does. By its
-    // later revision it would take the address from that server.
+    // Failure: a list entry of another writer names a service that does not exist and the address of a server that
+    // does. Its later revision would take the address from that server.
     std::erase_if(servers, [this](auto& server) { return !isServiceKnown(server); });
     std::map<Endpoint, StorePosition> newest;
     for (auto& server : servers)
-        newest[server.address] = std::max(newest[server.address], listedAt(server));
-    std::erase_if(servers, [&](auto& server) { return server.address.port() != 0 && listedAt(server) < newest[server.address]; });
+        newest[server.address] = std::max(newest[server.address], listedPosition(server));
+    std::erase_if(servers, [&](auto& server) { return server.address.port() != 0 && listedPosition(server) < newest[server.address]; });
     return servers;
 }
 
--- a/src/gateway/entry-daemon.cc
+++ b/src/gateway/entry-daemon.cc
@@ -1,9 +1,9 @@
 #include "src/gateway/entry-daemon.h"
 
 #include "src/gateway/control-state.h"
-#include "src/gateway/news-metrics.h"
+#include "src/gateway/datagram-metrics.h"
 #include "src/gateway/store-follower.h"
-#include "src/gateway/traffic.h"
+#include "src/gateway/traffic-server.h"
 #include "src/log/logger.h"
 #include "src/process/fetch-page.h"
 #include "src/process/metrics.h"
@@ -26,13 +26,13 @@
 
 constexpr const char* configurationPage = "/published/configuration";
 constexpr const char* serversPage = "/published/servers";
-/// A pull crosses a data centre in milliseconds; a peer that takes longer is cut off.
-constexpr milliseconds pullWithin { 800 };
-/// A starting entry lists the servers after this long, and up to `listSpread` later: by then it has heard of its neighbours.
-/// Engines that lost power with it take a second and more until they serve again.
-constexpr milliseconds listAtStartAfter { 60 };
-constexpr milliseconds listSpread { 400 };
-/// What is left of the time to stop for the end of the process itself.
+/// A pull within a data centre takes milliseconds; a peer that takes longer is cut off.
+constexpr milliseconds pullTimeout { 800 };
+/// A starting entry lists the servers after this delay and a random jitter of up to `initialListJitter`. By then it has
+/// received hellos from its neighbours. Engines that lost power with it need a second or more until they serve again.
+constexpr milliseconds initialListDelay { 60 };
+constexpr milliseconds initialListJitter { 400 };
+/// Part of the stop timeout that is reserved for the end of the process itself.
 constexpr milliseconds stopMargin { 700 };
 
 const char* pageOf(Topic topic)
@@ -40,60 +40,60 @@
     return topic == Topic::Configuration ? configurationPage : serversPage;
 }
 
-EntryMember selfOf(const EntrySettings& settings, Incarnation incarnation)
+EntryMember selfMember(const EntrySettings& settings, Incarnation incarnation)
 {
     return { settings.peers, incarnation, 0, settings.clients, settings.dataCentre, EntryState::Starting };
 }
 
-/// The control thread: carries out the effects of `ControlState` and feeds it events.
+/// The control thread: carries out the effects of `ControlState` and passes events to it.
 class EntryControl {
 public:
-    EntryControl(const EntrySettings& settings, const Protocol& protocol, const StoreFactory& makeStore, process::SharedMetrics& metrics, Incarnation incarnation, Traffic& traffic)
+    EntryControl(const EntrySettings& settings, const Protocol& protocol, const StoreFactory& makeStore, process::SharedMetrics& metrics, Incarnation incarnation, TrafficServer& traffic)
         : m_settings(settings)
         , m_traffic(traffic)
         , m_store(makeStore(m_ioContext))
-        , m_state(selfOf(settings, incarnation), settings.seeds, settings.leastEntries, protocol, policy::Generator(std::random_device {}()), Clock::now())
+        , m_state(selfMember(settings, incarnation), settings.seeds, settings.minEntries, protocol, policy::Generator(std::random_device {}()), Clock::now())
         , m_pages(m_ioContext, settings.peers)
         , m_metricsPages(m_ioContext, settings.metrics)
         , m_stop(m_ioContext, [this](int count) { onStop(count); })
         , m_hangUp(m_ioContext, [] { log::write(log::Event::SettingsFileChanged, ""); })
         , m_timer(m_ioContext)
-        , m_configuration(m_ioContext, m_store, Topic::Configuration, [this](auto& event) { apply(event); })
-        , m_servers(m_ioContext, m_store, Topic::Servers, [this](auto& event) { apply(event); })
+        , m_configurationFollower(m_ioContext, m_store, Topic::Configuration, [this](auto& event) { apply(event); })
+        , m_serversFollower(m_ioContext, m_store, Topic::Servers, [this](auto& event) { apply(event); })
     {
-        m_news = NewsSocket::create(m_ioContext, settings.peers, [this](auto&, NewsMessage message) { onNews(std::move(message)); }).value();
-        m_news->setOnMoved(countInto(metrics, "swiftloft_entry"));
+        m_controlSocket = ControlSocket::create(m_ioContext, settings.peers, [this](auto&, ControlMessage message) { onMessage(std::move(message)); }).value();
+        m_controlSocket->setOnDatagram(datagramCounter(metrics, "swiftloft_entry"));
         m_traffic.setOnLoadsMeasured([this](std::vector<ServiceLoad> loads) {
             asio::post(m_ioContext, [this, loads = std::move(loads)] { apply(control::LoadsMeasured { loads }); });
         });
-        m_traffic.setOnServerLeaving([this](const ServerLife& server) {
-            asio::post(m_ioContext, [this, server] { apply(control::LeavingHeard { server }); });
+        m_traffic.setOnServerLeaving([this](const ServerIncarnation& server) {
+            asio::post(m_ioContext, [this, server] { apply(control::LeavingReported { server }); });
         });
         for (auto topic : { Topic::Configuration, Topic::Servers })
             m_pages.add(pageOf(topic), [this, topic] { return publishedPage(topic); });
         m_metricsPages.add("/metrics", [&metrics] { return process::StatusAnswer { 200, "text/plain; version=0.0.4", metrics.text() }; });
-        m_configuration.start(Clock::now());
-        m_servers.start(firstServerList());
+        m_configurationFollower.start(Clock::now());
+        m_serversFollower.start(initialServerListAt());
         tick();
     }
 
     /// Returns when the traffic thread has ended.
     void run() { m_ioContext.run(); }
-    /// From any thread.
-    void end()
+    /// May be called from any thread.
+    void stop()
     {
         asio::post(m_ioContext, [this] { m_ioContext.stop(); });
     }
 
 private:
-    /// Failure: hundreds of entries start together, and each lists all servers at the store, in several pages. Spread, the
-    /// first ones list and tell, and the others fetch the list from their neighbours. The configuration is a single item,
-    /// and is asked for at once: it must not come from a peer that is cut off.
-    static TimePoint firstServerList()
+    /// Failure: hundreds of entries start together, and each lists all servers from the store, in several pages. With random
+    /// delays, the first entries list the servers and announce them, and the others pull the list from their neighbours. The
+    /// configuration is a single item and is requested at once, because it must not come from a peer that is cut off.
+    static TimePoint initialServerListAt()
     {
         policy::Generator generator(std::random_device {}());
-        boost::random::uniform_int_distribution<int> spread(0, static_cast<int>(listSpread.count()));
-        return Clock::now() + listAtStartAfter + milliseconds(spread(generator));
+        boost::random::uniform_int_distribution<int> spread(0, static_cast<int>(initialListJitter.count()));
+        return Clock::now() + initialListDelay + milliseconds(spread(generator));
     }
 
     void apply(const control::Event& event)
@@ -103,27 +103,27 @@
             std::visit([this](auto& it) { perform(it); }, effect);
     }
 
-    void perform(const control::Publish&)
+    void perform(const control::PublishSnapshot&)
     {
         m_traffic.setSnapshot(std::make_shared<Snapshot>(m_state.snapshot(Clock::now())));
     }
 
     void perform(const control::SendHello& effect)
     {
-        auto bytes = encode(NewsMessage(effect.hello));
+        auto bytes = encode(ControlMessage(effect.hello));
         for (auto& target : effect.to)
-            m_news->sendEncoded(target, NewsKind::Hello, bytes);
+            m_controlSocket->sendEncoded(target, ControlMessageKind::Hello, bytes);
     }
 
     void perform(const control::SendBrief& effect)
     {
-        m_news->send(Endpoint(effect.to.address(), m_settings.agentPort), effect.brief);
+        m_controlSocket->send(Endpoint(effect.to.address(), m_settings.agentPort), effect.brief);
     }
 
     void perform(const control::SetWatching& effect)
     {
-        m_configuration.setActive(effect.isOn);
-        m_servers.setActive(effect.isOn);
+        m_configurationFollower.setActive(effect.isOn);
+        m_serversFollower.setActive(effect.isOn);
     }
 
     void perform(const control::Pull& effect)
@@ -135,23 +135,23 @@
     {
         std::optional<PublishedItems> items;
         try {
-            auto body = co_await process::fetchPage(m_ioContext, effect.from, pageOf(effect.topic), Clock::now() + pullWithin);
+            auto body = co_await process::fetchPage(m_ioContext, effect.from, pageOf(effect.topic), Clock::now() + pullTimeout);
             items = decodeItems(body).value();
         } catch (const std::exception& error) {
             log::write(log::Event::PullFailed, "from={}:{} page={} problem=\"{}\"", effect.from.address().to_string(), effect.from.port(), pageOf(effect.topic), error.what());
         }
         if (items)
-            apply(control::PeerAnswered { effect.topic, std::move(*items) });
+            apply(control::PullAnswered { effect.topic, std::move(*items) });
         else
             apply(control::PullFailed { effect.topic });
     }
 
-    void onNews(NewsMessage message)
+    void onMessage(ControlMessage message)
     {
         if (auto* hello = std::get_if<Hello>(&message))
-            apply(control::HelloArrived { std::move(*hello) });
-        else if (auto* rank = std::get_if<RankNews>(&message))
-            apply(control::RankNewsArrived { std::move(*rank) });
+            apply(control::HelloReceived { std::move(*hello) });
+        else if (auto* rank = std::get_if<RankStatus>(&message))
+            apply(control::RankStatusReceived { std::move(*rank) });
     }
 
     process::StatusAnswer publishedPage(Topic topic) const
@@ -168,13 +168,13 @@
             return;
         log::write(log::Event::ProcessStopping, "");
         apply(control::StopRequested {});
-        m_traffic.stop(Clock::now() + m_settings.stopWithin - stopMargin);
+        m_traffic.stop(Clock::now() + m_settings.stopTimeout - stopMargin);
     }
 
     void tick()
     {
         apply(control::Ticked {});
-        m_timer.expires_at(Clock::now() + ControlState::tickEvery);
+        m_timer.expires_at(Clock::now() + ControlState::tickInterval);
         m_timer.async_wait([this](boost::system::error_code ec) {
             if (!ec)
                 tick();
@@ -183,7 +183,7 @@
 
     asio::io_context m_ioContext { 1 };
     const EntrySettings& m_settings;
-    Traffic& m_traffic;
+    TrafficServer& m_traffic;
     Store m_store;
     ControlState m_state;
     process::StatusServer m_pages;
@@ -191,9 +191,9 @@
     process::StopSignals m_stop;
     process::HangUpSignal m_hangUp;
     asio::steady_timer m_timer;
-    StoreFollower m_configuration;
-    StoreFollower m_servers;
-    std::shared_ptr<NewsSocket> m_news;
+    StoreFollower m_configurationFollower;
+    StoreFollower m_serversFollower;
+    std::shared_ptr<ControlSocket> m_controlSocket;
 };
 
 } // namespace
@@ -201,11 +201,11 @@
 void runEntry(const EntrySettings& settings, const Protocol& protocol, const StoreFactory& makeStore, Incarnation incarnation)
 {
     process::SharedMetrics metrics;
-    Traffic traffic(settings, protocol, metrics, incarnation);
+    TrafficServer traffic(settings, protocol, metrics, incarnation);
     EntryControl control(settings, protocol, makeStore, metrics, incarnation, traffic);
     std::thread thread([&] {
         traffic.run();
-        control.end();
+        control.stop();
     });
     control.run();
     thread.join();
--- a/src/gateway/peer-loads.h
+++ b/src/gateway/peer-loads.h
@@ -1,44 +1,44 @@
 #pragma once
 
-#include "src/gateway/news.h"
+#include "src/gateway/control-message.h"
 
 #include <map>
 
 namespace swiftloft::gateway {
 
-/// Work at a server.
+/// Load on a server.
 struct Load {
     std::uint32_t running { 0 };
     std::int64_t promptTokens { 0 };
 };
 
-/// What other entries have at the servers, by their word, summed by server as it is told: the sum over all entries was
-/// needed for every server at every request. Pure: the time comes with each call.
+/// Loads that other entries report for the servers. The sums per server are updated with each report, because they are
+/// needed for every server at every request. Pure: the time is passed in with each call.
 class PeerLoads {
 public:
-    /// Loads told by another entry count for this long. They are told every `toldEvery` at least; an entry that died
-    /// has no requests any more.
-    static constexpr milliseconds countFor { 600 };
-    static constexpr milliseconds toldEvery { 150 };
+    /// Loads reported by another entry are valid for this long. They are reported at least every `reportInterval`; an
+    /// entry that died has no requests any more.
+    static constexpr milliseconds reportLifetime { 600 };
+    static constexpr milliseconds reportInterval { 150 };
 
-    void onNews(TimePoint now, const LoadNews& news);
-    /// Of all entries heard of within `countFor`.
+    void onUpdate(TimePoint now, const LoadUpdate& update);
+    /// Sum over all entries whose last report is not older than `reportLifetime`.
     Load at(TimePoint now, ServerHash server);
 
 private:
     struct Peer {
         std::uint64_t sequence { 0 };
-        TimePoint heardAt;
+        TimePoint receivedAt;
         std::map<ServerHash, Load> loads;
     };
 
-    void forgetSilent(TimePoint now);
-    void takeOff(const Peer& peer);
+    void expireSilentPeers(TimePoint now);
+    void subtractLoads(const Peer& peer);
 
     std::map<Incarnation, Peer> m_peers;
     std::map<ServerHash, Load> m_sums;
-    /// Nobody falls silent before this.
-    TimePoint m_silentNotBefore { TimePoint::max() };
+    /// No report expires before this time.
+    TimePoint m_nextExpiryAt { TimePoint::max() };
 };
 
 } // namespace swiftloft::gateway
--- a/src/gateway/pull-schedule.h
+++ b/src/gateway/pull-schedule.h
@@ -8,37 +8,38 @@
 
 namespace swiftloft::gateway {
 
-/// When an entry fetches a newer document from another entry. Pure: the time comes with each call.
+/// Decides when an entry fetches a newer document from another entry. Pure: the time comes with each call.
 class PullSchedule {
 public:
-    /// A pull that was neither answered nor failed is repeated after this long.
+    /// A pull that has neither been answered nor failed is repeated after this long.
     static constexpr milliseconds pullTimeout { 1000 };
-    /// News of another data centre is fetched from there only after this long: mostly the same comes from the own one, and
-    /// the bytes between data centres are dear.
-    static constexpr milliseconds nearFirstFor { 600 };
+    /// Delay before a document announced by a remote data centre is fetched from there. Usually a local entry offers
+    /// the same document by then, and traffic between data centres is expensive.
+    static constexpr milliseconds localFirstDelay { 600 };
 
-    /// An entry has said that it holds a newer document. True when it is to be fetched from there now; that counts as begun.
-    bool begin(TimePoint now, Topic topic, bool mayWaitForNear)
+    /// Call it when an entry has announced a newer document. Returns true when the document must be fetched from that
+    /// entry now; the pull then counts as started.
+    bool tryBegin(TimePoint now, Topic topic, bool mayWaitForLocal)
     {
-        if (mayWaitForNear && now < m_behindSince.try_emplace(topic, now).first->second + nearFirstFor)
+        if (mayWaitForLocal && now < m_remoteNewerSince.try_emplace(topic, now).first->second + localFirstDelay)
             return false;
-        auto& givenUpAt = m_givenUpAt[topic];
-        if (now < givenUpAt)
+        auto& timeoutAt = m_timeoutAt[topic];
+        if (now < timeoutAt)
             return false;
-        givenUpAt = now + pullTimeout;
+        timeoutAt = now + pullTimeout;
         return true;
     }
     void onAnswered(Topic topic)
     {
-        m_givenUpAt.erase(topic);
-        m_behindSince.erase(topic);
+        m_timeoutAt.erase(topic);
+        m_remoteNewerSince.erase(topic);
     }
-    void onFailed(Topic topic) { m_givenUpAt.erase(topic); }
+    void onFailed(Topic topic) { m_timeoutAt.erase(topic); }
 
 private:
-    std::map<Topic, TimePoint> m_givenUpAt;
-    /// Since when only other data centres are known to have something newer.
-    std::map<Topic, TimePoint> m_behindSince;
+    std::map<Topic, TimePoint> m_timeoutAt;
+    /// Time since which only remote data centres are known to hold a newer document.
+    std::map<Topic, TimePoint> m_remoteNewerSince;
 };
 
 } // namespace swiftloft::gateway
--- a/src/gateway/request-call.h
+++ b/src/gateway/request-call.h
@@ -5,9 +5,9 @@
 
 namespace swiftloft::gateway {
 
-/// One request inside the entry, from its arrival to its end. Private to the files of `RequestServer`.
+/// State of one client request, from its arrival to its end. Private to the source files of `RequestServer`.
 struct RequestServer::Call {
-    ClientStream& client;
+    DownstreamConnection& client;
     ClientRequest request;
     RequestHead head;
     TimePoint arrivedAt;
@@ -15,37 +15,38 @@
     std::shared_ptr<const Configuration> configuration;
     const Route* route { nullptr };
     std::optional<OrganisationName> organisation;
-    std::unique_ptr<CallDesk::Ticket> ticket;
+    std::unique_ptr<AsyncDispatcher::CallHandle> handle;
 
-    /// A failure of a server that may be passed on.
-    std::optional<ClientAnswer> failure;
+    /// Error response of a backend server that may be forwarded to the client.
+    std::optional<ClientResponse> serverError;
 
-    // Of a stream that has begun.
-    bool hasBegun { false };
+    // State of a stream.
+    /// The response head was sent to the client.
+    bool hasStreamStarted { false };
     std::optional<std::uint64_t> lastEvent;
     EventSplitter splitter;
 
-    /// The whole answer has gone out.
+    /// The complete response was sent to the client.
     bool isComplete { false };
 
-    /// The request was written to the server that it is at.
+    /// When the request was sent to the current server.
     TimePoint sentAt;
-    /// The connection of the try in progress; null before it is open.
+    /// Connection of the current attempt; null until it is open.
     UpstreamConnection* upstream { nullptr };
-    /// The try in progress is to end.
-    bool isTakenBack { false };
+    /// The current attempt must end.
+    bool isAttemptCancelled { false };
 
     // For the log and the metrics.
     ServiceName service;
-    /// What decided a refusal.
-    std::string inputs;
+    /// Values that led to a refusal, formatted for the log.
+    std::string refusalDetails;
     unsigned status { 0 };
     std::string_view reason { "answered" };
     unsigned attempts { 0 };
     std::string servers;
     std::optional<TimePoint> firstByteAt;
     TimePoint lastEventAt;
-    milliseconds longestPause { 0 };
+    milliseconds longestEventGap { 0 };
     bool mustClose { false };
 };
 
--- /dev/null
+++ b/src/gateway/traffic-server.cc
@@ -0,0 +1,303 @@
+#include "src/gateway/traffic-server.h"
+
+#include "src/gateway/datagram-metrics.h"
+#include "src/log/logger.h"
+
+#include <boost/asio/co_spawn.hpp>
+#include <boost/asio/detached.hpp>
+#include <boost/asio/post.hpp>
+#include <boost/asio/redirect_error.hpp>
+#include <boost/asio/use_awaitable.hpp>
+
+#include <algorithm>
+#include <random>
+
+namespace swiftloft::gateway {
+
+namespace asio = boost::asio;
+using asio::redirect_error;
+using asio::use_awaitable;
+
+namespace {
+
+/// Minimum interval between load updates. Without it, every request would cause a datagram to each entry.
+constexpr milliseconds minLoadUpdateInterval { 20 };
+/// The interval is also at least this long for each recipient, which limits the cost in a large data centre to 500 datagrams a
+/// second.
+constexpr milliseconds loadUpdateIntervalPerEntry { 2 };
+/// Known limits are sent again at this interval while requests are running, because datagrams get lost.
+constexpr milliseconds limitRepeatInterval { 400 };
+/// An entry continues to accept connections for this long after SIGTERM, because clients cache their lists of entries.
+constexpr milliseconds acceptGracePeriod { 3000 };
+/// Delay after a failed accept, for example when no file descriptors are left.
+constexpr milliseconds acceptRetryDelay { 10 };
+constexpr milliseconds pageTimeout { 3000 };
+/// Upper bound of the entries in one directory response.
+constexpr std::size_t maxDirectoryEntries = 64;
+
+policy::Generator seeded()
+{
+    return policy::Generator(std::random_device {}());
+}
+
+} // namespace
+
+TrafficServer::TrafficServer(const EntrySettings& settings, const Protocol& protocol, process::SharedMetrics& metrics, Incarnation incarnation)
+    : m_settings(settings)
+    , m_protocol(protocol)
+    , m_incarnation(incarnation)
+    , m_dispatcher(m_ioContext, DispatcherOptions { settings.retries }, seeded())
+    , m_pool(m_ioContext)
+    , m_server(m_dispatcher, m_pool, protocol, metrics, [this] { return m_snapshot; })
+    , m_snapshot(std::make_shared<Snapshot>())
+    , m_clients(m_ioContext)
+    , m_ready(m_ioContext)
+    , m_directory(m_ioContext)
+    , m_loadUpdateTimer(m_ioContext)
+    , m_stopTimer(m_ioContext)
+{
+    auto onMessage = [this](const ControlSocket::UdpEndpoint&, ControlMessage message) {
+        if (auto* load = std::get_if<LoadUpdate>(&message))
+            m_dispatcher.apply(dispatch::LoadReceived { std::move(*load) });
+    };
+    m_loadSocket = ControlSocket::create(m_ioContext, settings.load, onMessage).value();
+    m_loadSocket->setOnDatagram(datagramCounter(metrics, "swiftloft_entry"));
+    m_dispatcher.setOnLoadChanged([this] { scheduleLoadUpdate(std::max(Clock::now(), m_loadUpdateNotBefore)); });
+    auto page = [this](asio::ip::tcp::socket socket) { return serveStatusPage(std::move(socket)); };
+    listen(m_ready, settings.ready, page);
+    listen(m_directory, settings.directory, page);
+    listen(m_clients, settings.clients, [this](asio::ip::tcp::socket socket) { return serveClient(std::move(socket)); });
+}
+
+TrafficServer::~TrafficServer()
+{
+    for (auto* acceptor : { &m_clients, &m_ready, &m_directory }) {
+        boost::system::error_code ec;
+        acceptor->close(ec);
+    }
+    m_loadSocket->stop();
+    m_pool.closeIdle();
+    m_dispatcher.setOnLoadChanged(nullptr);
+    for (auto* client : std::set<DownstreamConnection*>(m_clientConnections))
+        client->reset();
+    m_ioContext.restart();
+    m_ioContext.poll();
+    // Failure: a call that nothing resumes, for example one whose client has sent more data and whose server is silent, is
+    // still suspended here. If it were destroyed with the context, after the tables that it unregisters from, it would access
+    // freed memory: the process never ends, or dies of signal 11.
+    m_dispatcher.close();
+    m_ioContext.shutdown();
+}
+
+void TrafficServer::run()
+{
+    m_ioContext.run();
+}
+
+void TrafficServer::setSnapshot(std::shared_ptr<const Snapshot> snapshot)
+{
+    asio::post(m_ioContext, [this, snapshot = std::move(snapshot)] {
+        m_snapshot = snapshot;
+        m_pool.applySnapshot(*snapshot);
+        m_dispatcher.apply(dispatch::SnapshotChanged { snapshot });
+        if (m_onLoadsMeasured)
+            m_onLoadsMeasured(m_dispatcher.reducer().loadBalancer().localLoads(Clock::now()));
+    });
+}
+
+void TrafficServer::listen(Acceptor& acceptor, const Endpoint& endpoint, ConnectionHandler serve)
+{
+    acceptor.open(endpoint.protocol());
+    acceptor.set_option(asio::socket_base::reuse_address(true));
+    acceptor.bind(endpoint);
+    acceptor.listen();
+    co_spawn(m_ioContext, accept(acceptor, std::move(serve)), asio::detached);
+}
+
+asio::awaitable<void> TrafficServer::accept(Acceptor& acceptor, ConnectionHandler serve)
+{
+    while (acceptor.is_open()) {
+        boost::system::error_code ec;
+        auto socket = co_await acceptor.async_accept(redirect_error(use_awaitable, ec));
+        if (!ec) {
+            // A connection that fails is closed like any other.
+            co_spawn(m_ioContext, serve(std::move(socket)), [](const std::exception_ptr&) {});
+            continue;
+        }
+        if (ec == asio::error::operation_aborted)
+            co_return;
+        log::write(log::Event::AcceptFailed, "problem=\"{}\"", ec.message());
+        asio::steady_timer pause(m_ioContext, Clock::now() + acceptRetryDelay);
+        co_await pause.async_wait(use_awaitable);
+    }
+}
+
+asio::awaitable<void> TrafficServer::serveClient(asio::ip::tcp::socket socket)
+{
+    DownstreamConnection client(std::move(socket));
+    m_clientConnections.insert(&client);
+    struct Unregister {
+        TrafficServer& traffic;
+        DownstreamConnection* client;
+        ~Unregister()
+        {
+            traffic.m_clientConnections.erase(client);
+            traffic.stopIfIdle();
+        }
+    } unregister { *this, &client };
+    for (;;) {
+        auto limits = m_snapshot->configuration ? m_snapshot->configuration->limits() : ClientLimits {};
+        ClientRequest request;
+        auto error = co_await client.readRequest(limits, request);
+        if (error == ReadError::Closed)
+            co_return;
+        if (m_stopDeadline)
+            client.setMustClose();
+        if (error != ReadError::None) {
+            co_await m_server.rejectUnreadable(client, error);
+            co_return co_await client.close();
+        }
+        bool isOpen = co_await m_server.serve(client, std::move(request));
+        if (!isOpen)
+            co_return;
+        if (client.mustClose())
+            co_return co_await client.close();
+    }
+}
+
+asio::awaitable<void> TrafficServer::serveStatusPage(asio::ip::tcp::socket socket)
+{
+    DownstreamConnection client(std::move(socket));
+    ClientLimits limits;
+    limits.headerTimeout = pageTimeout;
+    for (;;) {
+        ClientRequest request;
+        if (co_await client.readRequest(limits, request) != ReadError::None)
+            co_return;
+        auto response = statusPage(request);
+        co_await client.writeResponse(response);
+        if (client.mustClose())
+            co_return co_await client.close();
+    }
+}
+
+ClientResponse TrafficServer::statusPage(const ClientRequest& request)
+{
+    std::string_view target(request.target().data(), request.target().size());
+    auto path = target.substr(0, target.find('?'));
+    ClientResponse response(http::status::ok, request.version());
+    if (path == m_protocol.readyPath) {
+        if (!m_snapshot->isReady)
+            response.result(http::status::service_unavailable);
+    } else if (path == m_protocol.directoryPath) {
+        auto entries = directoryEntries();
+        if (entries.empty())
+            response.result(http::status::service_unavailable);
+        auto now = Clock::now();
+        response.set(http::field::content_type, "application/json");
+        response.body() = m_protocol.encodeDirectory(entries, now + m_settings.directoryMaxAge, now);
+    } else
+        response.result(http::status::not_found);
+    response.prepare_payload();
+    return response;
+}
+
+/// Entries for a client of this data centre: the local entries, or all entries if fewer than two are local. Clients ask the
+/// nearest entry first, so this data centre is theirs. With two entries, one remains when the other dies.
+std::vector<Endpoint> TrafficServer::directoryEntries() const
+{
+    std::vector<Endpoint> local;
+    std::vector<Endpoint> all;
+    auto add = [&](const Endpoint& endpoint, const DataCentreName& dataCentre) {
+        all.push_back(endpoint);
+        if (dataCentre == m_settings.dataCentre)
+            local.push_back(endpoint);
+    };
+    if (m_snapshot->isReady)
+        add(m_settings.clients, m_settings.dataCentre);
+    for (auto& entry : m_snapshot->entries) {
+        if (entry.state == EntryState::Serving)
+            add(entry.clients, entry.dataCentre);
+    }
+    auto& chosen = local.size() >= 2 ? local : all;
+    if (chosen.size() > maxDirectoryEntries)
+        chosen.resize(maxDirectoryEntries);
+    return chosen;
+}
+
+void TrafficServer::scheduleLoadUpdate(TimePoint time)
+{
+    if (m_loadUpdateAt && *m_loadUpdateAt <= time)
+        return;
+    m_loadUpdateAt = time;
+    m_loadUpdateTimer.expires_at(time);
+    m_loadUpdateTimer.async_wait([this](boost::system::error_code ec) {
+        if (ec)
+            return;
+        m_loadUpdateAt.reset();
+        sendLoadUpdate();
+    });
+}
+
+void TrafficServer::sendLoadUpdate()
+{
+    auto now = Clock::now();
+    auto& loadBalancer = m_dispatcher.reducer().loadBalancer();
+    auto loads = loadBalancer.ownLoads();
+    // Entries in a remote data centre get the load of their servers from their neighbours, and from this entry while it uses
+    // those servers. They get one more update when it stops using them, so that the last report does not remain in effect.
+    auto used = loadBalancer.dataCentresUsed();
+    auto isRecipient = [&](const DataCentreName& dataCentre) { return dataCentre == m_settings.dataCentre || used.contains(dataCentre) || m_remoteRecipients.contains(dataCentre); };
+    bool isBusy = !loads.empty();
+    // A limit that a server has changed or withdrawn concerns the entries of all data centres.
+    bool isLimitChanged = std::exchange(m_sentLimitVersion, loadBalancer.limits().localVersion()) != loadBalancer.limits().localVersion();
+    std::vector<LimitReport> limits;
+    if (isLimitChanged || m_limitsRepeatAt <= now) {
+        limits = loadBalancer.limits().reports(now);
+        m_limitsRepeatAt = now + limitRepeatInterval;
+    }
+    auto bytes = encode(ControlMessage(LoadUpdate { m_incarnation, ++m_loadSequence, std::move(loads), std::move(limits), loadBalancer.silentServers(now) }));
+    int recipients = 0;
+    for (auto& entry : m_snapshot->entries) {
+        if (m_snapshot->isLoadSharedLocally && !isLimitChanged && !isRecipient(entry.dataCentre))
+            continue;
+        m_loadSocket->sendEncoded(Endpoint(entry.control.address(), m_settings.load.port()), ControlMessageKind::Load, bytes);
+        ++recipients;
+    }
+    m_remoteRecipients = std::move(used);
+    m_loadUpdateNotBefore = now + std::max(minLoadUpdateInterval, recipients * loadUpdateIntervalPerEntry);
+    // The load is sent again while requests are running, because datagrams get lost and their content expires.
+    if (isBusy)
+        scheduleLoadUpdate(now + PeerLoads::reportInterval);
+}
+
+void TrafficServer::stop(TimePoint deadline)
+{
+    asio::post(m_ioContext, [this, deadline] {
+        m_stopDeadline = deadline;
+        auto now = Clock::now();
+        m_stopNotBefore = std::min(now + acceptGracePeriod, deadline);
+        m_stopTimer.expires_at(m_stopNotBefore);
+        m_stopTimer.async_wait([this](boost::system::error_code ec) {
+            if (ec)
+                return;
+            stopIfIdle();
+            m_stopTimer.expires_at(*m_stopDeadline);
+            m_stopTimer.async_wait([this](boost::system::error_code error) {
+                if (!error)
+                    m_ioContext.stop();
+            });
+        });
+    });
+}
+
+void TrafficServer::stopIfIdle()
+{
+    if (!m_stopDeadline || Clock::now() < m_stopNotBefore)
+        return;
+    bool isBusy = std::any_of(m_clientConnections.begin(), m_clientConnections.end(), [](auto* client) { return !client->isIdle(); });
+    if (!isBusy)
+        m_ioContext.stop();
+}
+
+} // namespace swiftloft::gateway
--- /dev/null
+++ b/src/gateway/traffic-server.h
@@ -0,0 +1,92 @@
+#pragma once
+
+#include "src/gateway/async-dispatcher.h"
+#include "src/gateway/control-message.h"
+#include "src/gateway/request-server.h"
+#include "src/gateway/settings.h"
+#include "src/gateway/upstream-pool.h"
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/steady_timer.hpp>
+
+#include <functional>
+#include <memory>
+#include <set>
+
+namespace swiftloft::gateway {
+
+/// The traffic thread of an entry: accepts clients, serves the list of entries and the readiness check, and sends its load to
+/// other entries.
+class TrafficServer {
+public:
+    TrafficServer(const EntrySettings& settings, const Protocol& protocol, process::SharedMetrics& metrics, Incarnation incarnation);
+
+    /// Resumes and unwinds the coroutines that still wait, before the members that they refer to are destroyed.
+    ~TrafficServer();
+
+    /// Runs until stopped.
+    void run();
+    /// May be called from any thread.
+    void setSnapshot(std::shared_ptr<const Snapshot> snapshot);
+    using OnLoadsMeasured = std::function<void(std::vector<ServiceLoad> loads)>;
+    /// `hook` is called on the traffic thread with each new snapshot. Must be set before `run`.
+    void setOnLoadsMeasured(OnLoadsMeasured hook) { m_onLoadsMeasured = std::move(hook); }
+    /// `hook` is called on the traffic thread when a server reports for the first time that it is leaving. Must be set before
+    /// `run`.
+    void setOnServerLeaving(AsyncDispatcher::OnServerLeaving hook) { m_dispatcher.setOnServerLeaving(std::move(hook)); }
+    /// Starts a graceful shutdown: `run` returns when no request is in progress, or at `deadline`. May be called from any thread.
+    void stop(TimePoint deadline);
+
+private:
+    using Acceptor = boost::asio::ip::tcp::acceptor;
+    using ConnectionHandler = std::function<boost::asio::awaitable<void>(boost::asio::ip::tcp::socket)>;
+
+    void listen(Acceptor& acceptor, const Endpoint& endpoint, ConnectionHandler serve);
+    boost::asio::awaitable<void> accept(Acceptor& acceptor, ConnectionHandler serve);
+    boost::asio::awaitable<void> serveClient(boost::asio::ip::tcp::socket socket);
+    boost::asio::awaitable<void> serveStatusPage(boost::asio::ip::tcp::socket socket);
+    ClientResponse statusPage(const ClientRequest& request);
+    std::vector<Endpoint> directoryEntries() const;
+    void sendLoadUpdate();
+    void scheduleLoadUpdate(TimePoint time);
+    void stopIfIdle();
+
+    /// Context whose suspended coroutines can be destroyed before the other members of the server.
+    class IoContext : public boost::asio::io_context {
+    public:
+        using boost::asio::execution_context::shutdown;
+        using boost::asio::io_context::io_context;
+    };
+
+    IoContext m_ioContext { 1 };
+    const EntrySettings& m_settings;
+    const Protocol& m_protocol;
+    Incarnation m_incarnation;
+    AsyncDispatcher m_dispatcher;
+    UpstreamPool m_pool;
+    RequestServer m_server;
+    std::shared_ptr<const Snapshot> m_snapshot;
+    Acceptor m_clients;
+    Acceptor m_ready;
+    Acceptor m_directory;
+    std::shared_ptr<ControlSocket> m_loadSocket;
+    boost::asio::steady_timer m_loadUpdateTimer;
+    boost::asio::steady_timer m_stopTimer;
+    OnLoadsMeasured m_onLoadsMeasured;
+    std::uint64_t m_loadSequence { 0 };
+    /// Remote data centres whose entries received the last load update.
+    std::set<DataCentreName> m_remoteRecipients;
+    TimePoint m_loadUpdateNotBefore;
+    /// Version of the server limits that was sent last, and when unchanged limits are sent again.
+    std::uint64_t m_sentLimitVersion { 0 };
+    TimePoint m_limitsRepeatAt;
+    /// When the next load update is sent; unset if none is scheduled.
+    std::optional<TimePoint> m_loadUpdateAt;
+    std::set<DownstreamConnection*> m_clientConnections;
+    /// Set once a shutdown has started.
+    std::optional<TimePoint> m_stopDeadline;
+    TimePoint m_stopNotBefore;
+};
+
+} // namespace swiftloft::gateway
--- a/src/policy/drain-rate.h
+++ b/src/policy/drain-rate.h
@@ -4,7 +4,7 @@
 
 namespace swiftloft::policy::internal {
 
-/// Work finished a second while there was work waiting, with older stretches forgotten.
+/// Work completed per second while requests were queued, as an exponentially decaying average.
 class DrainRate {
 public:
     explicit DrainRate(double initial)
@@ -12,15 +12,16 @@
     {
     }
 
-    /// `isBusy`: something was waiting since the last finish; otherwise the gap says nothing about the speed.
+    /// `isBusy` says that requests have been queued since the last finish; otherwise the time since then does not
+    /// reflect the throughput.
     void onFinish(Tokens cost, bool isBusy, TimePoint now)
     {
-        constexpr double keep = 1 - 1.0 / 64;
-        constexpr double shortestStretch = 0.05;
+        constexpr double decay = 1 - 1.0 / 64;
+        constexpr double minElapsedSeconds = 0.05;
         if (isBusy && m_lastFinish != TimePoint {}) {
-            m_cost = m_cost * keep + static_cast<double>(cost.value());
-            m_elapsed = m_elapsed * keep + std::chrono::duration<double>(now - m_lastFinish).count();
-            if (m_elapsed > shortestStretch)
+            m_cost = m_cost * decay + static_cast<double>(cost.value());
+            m_elapsed = m_elapsed * decay + std::chrono::duration<double>(now - m_lastFinish).count();
+            if (m_elapsed > minElapsedSeconds)
                 m_rate = m_cost / m_elapsed;
         }
         m_lastFinish = now;
--- a/src/policy/fingerprint.cc
+++ b/src/policy/fingerprint.cc
@@ -17,7 +17,7 @@
     return c == ' ' || c == '\t' || c == '\n' || c == '\r';
 }
 
-/// Hashes the stretches between insignificant spaces.
+/// Hashes the text between insignificant whitespace.
 class BodyHasher {
 public:
     explicit BodyHasher(XXH3_state_t* state)
@@ -33,13 +33,13 @@
                 addRaw(body.substr(begin, i - begin));
                 begin = i + 1;
             }
-            track(body[i]);
+            trackStrings(body[i]);
         }
         addRaw(body.substr(begin));
     }
 
 private:
-    void track(char c)
+    void trackStrings(char c)
     {
         if (m_isEscaped)
             m_isEscaped = false;
--- a/test/gateway-settings_test.cc
+++ b/test/gateway-settings_test.cc
@@ -40,8 +40,8 @@
     CHECK(settings.seeds.size() == 2);
     CHECK(settings.agentPort == 85);
     CHECK(settings.retries.slack == 88);
-    CHECK(settings.directoryKept == swiftloft::milliseconds(1500));
-    CHECK(settings.stopWithin == swiftloft::seconds(8));
+    CHECK(settings.directoryMaxAge == swiftloft::milliseconds(1500));
+    CHECK(settings.stopTimeout == swiftloft::seconds(8));
 }
 
 TEST_CASE("Entry settings: a missing key is named")
@@ -63,16 +63,16 @@
     CHECK_FALSE(parseEntrySettings(entryText + "id = twice\n", "entry.ini").has_value());
 }
 
-TEST_CASE("Entry settings: no seeds are fine")
+TEST_CASE("Entry settings: seeds are optional")
 {
     CHECK(parseEntrySettings(without("seeds"), "entry.ini").value().seeds.empty());
 }
 
-TEST_CASE("Agent settings: the planner's keys may be left out")
+TEST_CASE("Agent settings: the planner's keys are optional")
 {
     const std::string text = "[agent]\nid = a1\ndata-centre = dc\nengine = 10.0.0.5:80\nnews = 10.0.0.5:81\nmetrics = 10.0.0.5:83\ngroup = 10.0.0.5:82\n";
     auto settings = parseAgentSettings(text, "agent.ini").value();
-    CHECK(settings.copyWithin == AgentSettings().copyWithin);
-    CHECK(parseAgentSettings(text + "least-gain = 0.1\n", "agent.ini").value().leastGain == 0.1);
+    CHECK(settings.maxCopyTime == AgentSettings().maxCopyTime);
+    CHECK(parseAgentSettings(text + "least-gain = 0.1\n", "agent.ini").value().minGain == 0.1);
     CHECK_FALSE(parseAgentSettings(text + "least-gain = 2\n", "agent.ini").has_value());
 }
--- a/test/server-limits_test.cc
+++ b/test/server-limits_test.cc
@@ -14,11 +14,11 @@
 
 const TimePoint start { seconds(100) };
 constexpr ServerHash server { 7 };
-const std::optional<NamedLimit> none;
+const std::optional<AdvertisedLimit> noLimit;
 
-std::optional<NamedLimit> named(double rate)
+std::optional<AdvertisedLimit> advertised(double rate)
 {
-    return NamedLimit { RequestRate(rate) };
+    return AdvertisedLimit { RequestRate(rate) };
 }
 
 Endpoint entryAt(unsigned n)
@@ -31,13 +31,13 @@
     return { entryAt(n), Incarnation(n + 1), 1, entryAt(n), DataCentreName(std::string(1, static_cast<char>('a' + n % 3))), EntryState::Serving };
 }
 
-/// What entry `self` sees of a fleet of `entries`.
-Snapshot fleetOf(unsigned self, unsigned entries, std::size_t mayExist = 0)
+/// The snapshot of entry `self` in a fleet of `entries`.
+Snapshot fleetOf(unsigned self, unsigned entries, std::size_t maxEntries = 0)
 {
     Snapshot snapshot;
     snapshot.self = member(self);
     snapshot.isReady = true;
-    snapshot.entriesThatMayExist = mayExist ? mayExist : entries;
+    snapshot.maxEntries = maxEntries ? maxEntries : entries;
     for (unsigned n = 0; n < entries; ++n) {
         if (n != self)
             snapshot.entries.push_back(member(n));
@@ -45,8 +45,8 @@
     return snapshot;
 }
 
-/// One that has the whole limit to itself.
-ServerLimits alone()
+/// Limits of an entry that has each limit to itself.
+ServerLimits singleEntryLimits()
 {
     ServerLimits limits;
     limits.setFleet(start, fleetOf(0, 1));
@@ -55,34 +55,35 @@
 
 } // namespace
 
-// Failure: each entry sends as if it were the only one, and a server in need gets more than it takes from all together.
-TEST_CASE("Server limits: entries together send no more than a server names")
+// Failure: each entry sends as if it were the only one, and an overloaded server gets more than it accepts from all of
+// them together.
+TEST_CASE("Server limits: entries together send no more than the advertised limit")
 {
     auto rate = GENERATE(0.0, 0.5, 1.0, 3.0);
     FleetOptions options;
     options.seed = GENERATE(1U, 2U, 3U);
     GatewayFleet fleet(options);
-    fleet.at(seconds(8), [&] { fleet.limit(3, rate); });
-    fleet.at(seconds(30), [&] { fleet.limit(3, std::nullopt); });
+    fleet.at(seconds(8), [&] { fleet.setLimit(3, rate); });
+    fleet.at(seconds(30), [&] { fleet.setLimit(3, std::nullopt); });
     fleet.runUntil(seconds(40));
     INFO("limit " << rate << ", seed " << options.seed);
-    CHECK_THAT(fleet.broken(), Equals(""));
-    CHECK(fleet.served() > 0.97 * fleet.asked() - 200);
+    CHECK_THAT(fleet.violation(), Equals(""));
+    CHECK(fleet.served() > 0.97 * fleet.requested() - 200);
 }
 
-// Failure: with more entries than a limit allows requests, one request of each is already too many.
+// Failure: with more entries than a limit allows requests, one request per entry already exceeds the limit.
 TEST_CASE("Server limits: a fleet of 150 entries keeps a limit of few requests")
 {
     auto rate = GENERATE(0.0, 0.1, 1.0, 10.0);
-    GatewayFleet fleet({ .entries = 150, .dataCentres = 5, .servers = 30, .demand = 200, .entriesThatMayExist = 150 });
-    fleet.at(seconds(2), [&] { fleet.limit(3, rate); });
+    GatewayFleet fleet({ .entries = 150, .dataCentres = 5, .servers = 30, .demand = 200, .maxEntries = 150 });
+    fleet.at(seconds(2), [&] { fleet.setLimit(3, rate); });
     fleet.runUntil(seconds(20));
     INFO("limit " << rate);
-    CHECK_THAT(fleet.broken(), Equals(""));
+    CHECK_THAT(fleet.violation(), Equals(""));
 }
 
-// Failure: all servers are in need, and whoever waits for one sends to all of them as soon as it may.
-TEST_CASE("Server limits: all servers of a service name limits")
+// Failure: all servers are overloaded, and an entry with queued requests sends to all of them as soon as it may.
+TEST_CASE("Server limits: all servers of a service advertise limits")
 {
     FleetOptions options;
     options.servers = 4;
@@ -90,28 +91,29 @@
     GatewayFleet fleet(options);
     fleet.at(seconds(5), [&] {
         for (int n = 0; n < 4; ++n)
-            fleet.limit(n, 2);
+            fleet.setLimit(n, 2);
     });
     fleet.runUntil(seconds(65));
-    CHECK_THAT(fleet.broken(), Equals(""));
+    CHECK_THAT(fleet.violation(), Equals(""));
     int ran = 0;
     for (int n = 0; n < 4; ++n)
         ran += fleet.ranAt(n);
     constexpr double allowed = 4 * 2 * 60;
-    INFO("ran " << ran << " of " << allowed << " that the limits allow, and what came before");
+    INFO("ran " << ran << " of " << allowed << " requests that the limits allow, plus those before the limits");
     CHECK(ran > 0.8 * allowed * 7 / 9);
-    // No data centre is left out.
+    // No data centre is starved.
     for (int n = 0; n < 3; ++n)
-        CHECK(fleet.servedIn(n) > 0.5 * fleet.served() * fleet.askedIn(n) / fleet.asked());
+        CHECK(fleet.servedIn(n) > 0.5 * fleet.served() * fleet.requestedIn(n) / fleet.requested());
 }
 
-// Failure: a request that can't be served is kept until its time is up, and its client comes back with all the others.
-TEST_CASE("Server limits: what no server may get in time is refused at once, with times to return that are spread")
+// Failure: a request that can't be served stays queued until its time is up, and its client retries together with all
+// the others.
+TEST_CASE("Server limits: a request that no server may get in time is refused at once, with jittered retry times")
 {
     GatewayFleet fleet({ .servers = 2 });
     fleet.at(seconds(5), [&] {
-        fleet.limit(0, 0);
-        fleet.limit(1, 0);
+        fleet.setLimit(0, 0);
+        fleet.setLimit(1, 0);
     });
     fleet.runUntil(seconds(6));
     auto before = fleet.refusals().size();
@@ -120,34 +122,36 @@
     REQUIRE(refusals.size() > 50);
     std::set<milliseconds> times;
     for (auto& it : refusals) {
-        CHECK(it.heldFor <= milliseconds(1));
-        CHECK(it.returnAfter > milliseconds(100));
-        CHECK(it.returnAfter <= milliseconds(2400));
-        times.insert(it.returnAfter);
+        CHECK(it.queuedFor <= milliseconds(1));
+        CHECK(it.retryAfter > milliseconds(100));
+        CHECK(it.retryAfter <= milliseconds(2400));
+        times.insert(it.retryAfter);
     }
     CHECK(times.size() > refusals.size() / 2);
 }
 
-// Failure: a limit changes while it holds, and what was saved up under the higher one is spent under the lower one.
-TEST_CASE("Server limits: a limit that changes while it holds")
+// Failure: a limit changes while it is in force, and permits accumulated under the higher limit are spent under the
+// lower one.
+TEST_CASE("Server limits: a limit that changes while it is in force")
 {
     FleetOptions options;
     options.seed = GENERATE(1U, 2U, 3U);
     GatewayFleet fleet(options);
     const double rates[] = { 4, 1, 0, 2, 0.5, 1.1 };
     for (int n = 0; n < 6; ++n)
-        fleet.at(seconds(4 + 5 * n), [&fleet, rate = rates[n]] { fleet.limit(2, rate); });
+        fleet.at(seconds(4 + 5 * n), [&fleet, rate = rates[n]] { fleet.setLimit(2, rate); });
     fleet.runUntil(seconds(40));
-    CHECK_THAT(fleet.broken(), Equals(""));
+    CHECK_THAT(fleet.violation(), Equals(""));
 }
 
-// Failure: a limit goes on after its server has ceased to name it, as nobody sends there who could hear of it.
-TEST_CASE("Server limits: a limit ends once its server names none any more")
+// Failure: a limit stays in force after its server has stopped advertising it, because no entry sends a request that
+// would show it.
+TEST_CASE("Server limits: a limit ends once its server stops advertising it")
 {
     auto rate = GENERATE(0.0, 1.0);
     GatewayFleet fleet({ .servers = 3 });
-    fleet.at(seconds(5), [&] { fleet.limit(0, rate); });
-    fleet.at(seconds(20), [&] { fleet.limit(0, std::nullopt); });
+    fleet.at(seconds(5), [&] { fleet.setLimit(0, rate); });
+    fleet.at(seconds(20), [&] { fleet.setLimit(0, std::nullopt); });
     fleet.runUntil(seconds(26));
     auto before = fleet.ranAt(0);
     auto otherBefore = fleet.ranAt(1);
@@ -156,20 +160,21 @@
     CHECK(fleet.ranAt(0) - before > 0.7 * (fleet.ranAt(1) - otherBefore));
 }
 
-// Failure: what was believed of a server's earlier life keeps requests from its new one.
-TEST_CASE("Server limits: a server that starts again has no limit")
+// Failure: state of a server's old incarnation keeps requests from the new one.
+TEST_CASE("Server limits: a restarted server has no limit")
 {
     GatewayFleet fleet({ .servers = 3 });
-    fleet.at(seconds(5), [&] { fleet.limit(0, 0); });
+    fleet.at(seconds(5), [&] { fleet.setLimit(0, 0); });
     fleet.at(seconds(10), [&] { fleet.restartServer(0); });
     fleet.runUntil(seconds(10));
     auto before = fleet.ranAt(0);
     fleet.runUntil(milliseconds(10'500));
-    INFO("requests in half a second at a server with twelve places and demand for more");
+    INFO("requests in half a second at a server with twelve slots and more demand than that");
     CHECK(fleet.ranAt(0) - before >= 12);
 }
 
-// Failure: entries start, stand still, are cut off or end while a limit holds, and those that remain count wrongly.
+// Failure: entries start, stall, are disconnected or end while a limit is in force, and the remaining ones compute
+// wrong shares.
 TEST_CASE("Server limits: the other entries keep a limit while some fail")
 {
     FleetOptions options;
@@ -179,7 +184,7 @@
     std::mt19937_64 random(options.seed);
     auto pick = [&](int least, int most) { return std::uniform_int_distribution<int>(least, most)(random); };
     auto rate = 0.5 * pick(0, 6);
-    fleet.at(seconds(5), [&] { fleet.limit(1, rate); });
+    fleet.at(seconds(5), [&] { fleet.setLimit(1, rate); });
     for (int n = 0; n < 4; ++n) {
         auto entry = pick(0, 3);
         auto at = milliseconds(pick(4000, 25'000));
@@ -191,8 +196,8 @@
             fleet.at(at, [&fleet, entry] { fleet.freezeEntry(entry, seconds(4)); });
             break;
         case 2:
-            fleet.at(at, [&fleet, entry] { fleet.cutEntry(entry); });
-            fleet.at(at + seconds(4), [&fleet, entry] { fleet.healEntry(entry); });
+            fleet.at(at, [&fleet, entry] { fleet.disconnectEntry(entry); });
+            fleet.at(at + seconds(4), [&fleet, entry] { fleet.reconnectEntry(entry); });
             break;
         default:
             fleet.at(at, [&fleet, entry] { fleet.killEntry(entry); });
@@ -200,22 +205,22 @@
     }
     fleet.runUntil(seconds(35));
     INFO("limit " << rate << ", seed " << options.seed);
-    CHECK_THAT(fleet.broken(), Equals(""));
+    CHECK_THAT(fleet.violation(), Equals(""));
 }
 
-// Failure: the fleet splits in two, and each half shares out the whole limit.
-TEST_CASE("Server limits: halves of a split fleet send no more than their parts")
+// Failure: a network partition splits the fleet in two, and each half distributes the whole limit.
+TEST_CASE("Server limits: the halves of a split fleet send no more than their shares")
 {
     std::vector<ServerLimits> entries(8);
     for (unsigned n = 0; n < 8; ++n) {
         entries[n].setFleet(start, fleetOf(n % 4, 4, 8));
-        entries[n].onAnswer(start, server, start, named(16));
+        entries[n].onResponse(start, server, start, advertised(16));
     }
     int sent = 0;
     for (auto now = start + seconds(2); now < start + seconds(6); now += milliseconds(10)) {
         for (auto& it : entries) {
-            it.onAnswer(now, server, now, named(16));
-            if (it.maySendAt(now, server) > now)
+            it.onResponse(now, server, now, advertised(16));
+            if (it.nextSendTime(now, server) > now)
                 continue;
             it.onSend(now, server);
             ++sent;
@@ -225,60 +230,61 @@
     CHECK(sent >= 16 * 4 * 0.9);
 }
 
-// Failure: a server names a limit as an answer without one, to an earlier request, overtakes it on another connection.
-TEST_CASE("Server limits: only the answer to a later request ends a limit")
+// Failure: a server advertises a limit, and a response without one, to an earlier request on another connection,
+// arrives after it.
+TEST_CASE("Server limits: only the response to a later request ends a limit")
 {
-    auto limits = alone();
-    limits.onAnswer(start, server, start, named(1));
-    CHECK_FALSE(limits.onAnswer(start + milliseconds(5), server, start - milliseconds(300), none));
+    auto limits = singleEntryLimits();
+    limits.onResponse(start, server, start, advertised(1));
+    CHECK_FALSE(limits.onResponse(start + milliseconds(5), server, start - milliseconds(300), noLimit));
     CHECK(limits.limitOf(server) == RequestRate(1));
-    CHECK(limits.onAnswer(start + milliseconds(400), server, start + milliseconds(100), none));
+    CHECK(limits.onResponse(start + milliseconds(400), server, start + milliseconds(100), noLimit));
     CHECK_FALSE(limits.limitOf(server).has_value());
-    CHECK(limits.maySendAt(start + milliseconds(400), server) == start + milliseconds(400));
+    CHECK(limits.nextSendTime(start + milliseconds(400), server) == start + milliseconds(400));
 }
 
-// Failure: an entry passes an old word on after the server has said something newer.
-TEST_CASE("Server limits: the newest word of a server counts, whoever brings it")
+// Failure: an entry forwards an old report after the server has advertised something newer.
+TEST_CASE("Server limits: the newest report of a server counts, whichever entry sends it")
 {
-    auto limits = alone();
+    auto limits = singleEntryLimits();
     auto now = start + seconds(3);
-    limits.onTold(now, { server, RequestRate(2), milliseconds(500) });
+    limits.onPeerReport(now, { server, RequestRate(2), milliseconds(500) });
     CHECK(limits.limitOf(server) == RequestRate(2));
-    CHECK(limits.onTold(now, { server, std::nullopt, milliseconds(100) }));
-    CHECK_FALSE(limits.onTold(now, { server, RequestRate(2), milliseconds(300) }));
+    CHECK(limits.onPeerReport(now, { server, std::nullopt, milliseconds(100) }));
+    CHECK_FALSE(limits.onPeerReport(now, { server, RequestRate(2), milliseconds(300) }));
     CHECK_FALSE(limits.limitOf(server).has_value());
-    CHECK(limits.words(now).size() == 1);
-    CHECK(limits.words(now + ServerLimits::endToldFor).empty());
+    CHECK(limits.reports(now).size() == 1);
+    CHECK(limits.reports(now + ServerLimits::endPropagationTime).empty());
 }
 
-TEST_CASE("Server limits: a limit that can't be read leaves the last one in force")
+TEST_CASE("Server limits: a limit that can't be parsed leaves the last one in force")
 {
-    auto limits = alone();
-    CHECK_FALSE(limits.onAnswer(start, server, start, NamedLimit {}));
+    auto limits = singleEntryLimits();
+    CHECK_FALSE(limits.onResponse(start, server, start, AdvertisedLimit {}));
     CHECK_FALSE(limits.limitOf(server).has_value());
-    limits.onAnswer(start, server, start, named(1));
-    limits.onAnswer(start + seconds(1), server, start + milliseconds(500), NamedLimit {});
+    limits.onResponse(start, server, start, advertised(1));
+    limits.onResponse(start + seconds(1), server, start + milliseconds(500), AdvertisedLimit {});
     CHECK(limits.limitOf(server) == RequestRate(1));
 }
 
-TEST_CASE("Server limits: limits without bound and next to nothing are kept")
+TEST_CASE("Server limits: extremely large and extremely small limits are applied")
 {
-    auto limits = alone();
-    limits.onAnswer(start, server, start, named(1.7e308));
-    CHECK(limits.maySendAt(start + milliseconds(1), server) == start + milliseconds(1));
-    limits.onAnswer(start, server, start, named(1e-300));
-    CHECK(limits.maySendAt(start + seconds(1), server) > start + seconds(1));
-    CHECK(limits.maySendAt(start + seconds(4), server) == start + seconds(4));
+    auto limits = singleEntryLimits();
+    limits.onResponse(start, server, start, advertised(1.7e308));
+    CHECK(limits.nextSendTime(start + milliseconds(1), server) == start + milliseconds(1));
+    limits.onResponse(start, server, start, advertised(1e-300));
+    CHECK(limits.nextSendTime(start + seconds(1), server) > start + seconds(1));
+    CHECK(limits.nextSendTime(start + seconds(4), server) == start + seconds(4));
 }
 
-// Failure: the server list lapses and is back, and the entry has forgotten what the server named meanwhile.
-TEST_CASE("Server limits: a lapse of the server list does not end a limit")
+// Failure: the server list expires and comes back, and the entry has forgotten the server's limit in the meantime.
+TEST_CASE("Server limits: an expired server list does not end a limit")
 {
-    auto limits = alone();
-    limits.onAnswer(start, server, start, named(1));
+    auto limits = singleEntryLimits();
+    limits.onResponse(start, server, start, advertised(1));
     limits.setFleet(start + seconds(20), fleetOf(0, 1));
     CHECK(limits.limitOf(server) == RequestRate(1));
-    limits.setFleet(start + ServerLimits::keptUnlisted, fleetOf(0, 1));
+    limits.setFleet(start + ServerLimits::unlistedRetention, fleetOf(0, 1));
     CHECK_FALSE(limits.limitOf(server).has_value());
 }
 
@@ -302,10 +308,10 @@
         for (unsigned n = 0; n < 9; ++n) {
             ServerLimits limits;
             limits.setFleet(start, fleetOf(n, 9));
-            limits.onAnswer(start, ServerHash(hash), start, named(0));
-            auto turn = limits.maySendAt(start, ServerHash(hash));
+            limits.onResponse(start, ServerHash(hash), start, advertised(0));
+            auto turn = limits.nextSendTime(start, ServerHash(hash));
             turns.insert(turn);
-            if (turn < start + ServerLimits::askAfter + 3 * ServerLimits::askEvery)
+            if (turn < start + ServerLimits::probeDelay + 3 * ServerLimits::probeInterval)
                 first.insert(member(n).dataCentre);
         }
         CHECK(turns.size() == 9);
--- a/test/soak/soak.h
+++ b/test/soak/soak.h
@@ -2,7 +2,7 @@
 
 #include "test/process/process-harness.h"
 #include "test/process/relay.h"
-#include "test/soak/users-platform.h"
+#include "test/soak/fake-platform.h"
 
 #include <atomic>
 #include <map>
@@ -13,9 +13,9 @@
 #include <thread>
 #include <vector>
 
-/// A randomized soak of real entries against the users' platform: processes are stopped, paused, killed and restarted,
-/// connections delayed, cut and silenced, the store and the servers misbehave, all from a seed. What callers and backend
-/// servers saw is checked at the end.
+/// Randomized soak test of real entries against the fake platform. Processes are stopped, paused, killed and restarted,
+/// connections are delayed, cut and silenced, and the store and the servers fail, all derived from a seed. What clients and
+/// backend servers observed is checked at the end.
 namespace swiftloft::soak {
 
 struct SoakOptions {
@@ -27,16 +27,16 @@
     std::string program;
 };
 
-/// What a caller saw of one request.
+/// What a client observed of one request.
 struct Outcome {
     std::string id;
     /// "stream", "once" or "safe".
     std::string kind;
     std::string key;
     TimePoint sentAt;
-    /// 0 when no answer came.
+    /// HTTP status; 0 if no response was received.
     unsigned status { 0 };
-    bool isWhole { false };
+    bool isComplete { false };
     std::string body;
 };
 
@@ -45,9 +45,9 @@
     explicit Soak(const SoakOptions& options);
     ~Soak();
 
-    /// Runs it; returns what was broken, empty when nothing was.
+    /// Runs the test. Returns the violated guarantees; empty if there are none.
     std::vector<std::string> run();
-    /// What was done when, for a trace.
+    /// Trace of the injected faults, with their times.
     const std::vector<std::string>& events() const { return m_events; }
     std::size_t requests() const { return m_outcomes.size(); }
     std::size_t served() const;
@@ -66,42 +66,42 @@
     };
 
     void startEntry(std::size_t index);
-    void note(const std::string& text);
+    void recordEvent(const std::string& text);
     void clientLoop(std::uint64_t seed);
-    void disturbEntry(std::mt19937_64& random);
-    void disturbStore(std::mt19937_64& random);
-    void returnStore(std::mt19937_64& random);
-    void disturbServer(std::mt19937_64& random);
-    void limitServer(std::mt19937_64& random);
-    void restServers(std::mt19937_64& random);
+    void injectEntryFault(std::mt19937_64& random);
+    void injectStoreFault(std::mt19937_64& random);
+    void restoreOldStore(std::mt19937_64& random);
+    void injectServerFault(std::mt19937_64& random);
+    void injectLimit(std::mt19937_64& random);
+    void injectBackOff(std::mt19937_64& random);
     void calm();
     void stopGracefully(std::size_t index);
-    bool servesAgain();
+    bool waitUntilServing();
     std::vector<std::string> check();
-    void checkRuns(const Outcome& outcome, const std::vector<Run>& runs, std::vector<std::string>& broken) const;
-    void checkBody(const Outcome& outcome, std::vector<std::string>& broken) const;
-    void checkLeaving(const Outcome& outcome, const std::vector<Run>& runs, std::vector<std::string>& broken) const;
-    void checkDrains(std::vector<std::string>& broken) const;
-    bool wasStoreDisturbed(TimePoint from, TimePoint to) const;
+    void checkRuns(const Outcome& outcome, const std::vector<Run>& runs, std::vector<std::string>& violations) const;
+    void checkBody(const Outcome& outcome, std::vector<std::string>& violations) const;
+    void checkLeaving(const Outcome& outcome, const std::vector<Run>& runs, std::vector<std::string>& violations) const;
+    void checkDrains(std::vector<std::string>& violations) const;
+    bool wasStoreFaulty(TimePoint from, TimePoint to) const;
     std::string currentKey();
 
     SoakOptions m_options;
     process_test::TemporaryFolder m_folder;
-    UsersPlatform m_platform;
+    FakePlatform m_platform;
     std::vector<std::unique_ptr<process_test::Relay>> m_serverRelays;
     std::vector<Entry> m_entries;
-    std::atomic<bool> m_isOver { false };
+    std::atomic<bool> m_isStopped { false };
     mutable std::mutex m_mutex;
     std::vector<Outcome> m_outcomes;
     std::vector<std::string> m_events;
     std::string m_key;
-    /// When each key ceased to be valid.
+    /// When each key was revoked.
     std::map<std::string, TimePoint> m_revokedAt;
-    std::vector<Span> m_storeDisturbances;
-    std::vector<std::string> m_broken;
-    /// Entries that did not answer when all were asked last, with the status and the first line of what came.
+    std::vector<Span> m_storeFaults;
+    std::vector<std::string> m_violations;
+    /// Entries that did not serve the last probe, with the status and the first line of the response.
     std::string m_notServing;
-    TimePoint m_began;
+    TimePoint m_startedAt;
     int m_lastKey { 0 };
 };
 
