--- a/bench/control-bench-fleet.cc
+++ b/bench/control-bench-fleet.cc
@@ -185,7 +185,7 @@
     auto topology = membership::Topology {};
     for (std::size_t i = 0; i < dataCentres; ++i)
         topology.regions[DataCentreName(fmt::format("dc{}", i))] = RegionName(fmt::format("region{}", i * regions / dataCentres));
-    spread::Control control(source.node(0).row, membership::Life { 1, Incarnation(1) }, topology, {}, nullptr, 1);
+    spread::Control control(source.node(0).row, membership::OrderedIncarnation { 1, Incarnation(1) }, topology, {}, nullptr, 1);
     auto now = TimePoint(std::chrono::hours(1));
     spread::ControlEffects effects;
     auto give = [&](spread::Topic topic, std::uint64_t revision, const std::string& body) {
@@ -208,7 +208,7 @@
     auto begin = Clock::now();
     std::size_t named = 0;
     for (std::uint64_t i = 0; i < answers; ++i)
-        named += membership::answerAddresses(*view, DataCentreName("dc1"), ServiceName("service1"), i, now, {}).addresses.size();
+        named += membership::makeAddressAnswer(*view, DataCentreName("dc1"), ServiceName("service1"), i, now, {}).addresses.size();
     auto answer = 1e6 * secondsOf(Clock::now() - begin) / answers;
     begin = Clock::now();
     auto connections = membership::agentsFor(*view, source.node(0).row, {}).size();
@@ -229,7 +229,7 @@
         membership::Message ping;
         ping.kind = membership::MessageKind::Ping;
         ping.from = membership::keyOf(peer.id);
-        ping.life = membership::Life { 1, Incarnation(2) };
+        ping.incarnation = membership::OrderedIncarnation { 1, Incarnation(2) };
         ping.target = membership::keyOf(source.node(0).row.id);
         auto bytes = membership::encode(ping);
         auto decoded = membership::decode(bytes);
--- a/include/swiftloft/membership/message.h
+++ b/include/swiftloft/membership/message.h
@@ -34,7 +34,7 @@
 /// What some node says of a member. A leaving mark outranks health: it holds for the rest of that life.
 struct MemberUpdate {
     NodeKey member;
-    Life life;
+    OrderedIncarnation incarnation;
     std::uint32_t sequence { 0 }; ///< Raised only by the member itself, to refute a suspicion.
     Health health { Health::Alive };
     bool isLeaving { false };
@@ -56,16 +56,16 @@
     Ping,
     Ack, ///< Answers a ping, with its nonce.
     PingRequest, ///< Asks the receiver to ping `target` on the sender's behalf.
-    News, ///< Carries updates and announcements; no answer.
+    Gossip, ///< Carries updates and announcements; no answer.
     SyncRequest, ///< Asks for all that is out of the ordinary; answered by `News`.
     Note, ///< Carries `note` for the embedding process.
 };
 
 /// One datagram. `from` to `isReady` describe the sender.
 struct Message {
-    MessageKind kind { MessageKind::News };
+    MessageKind kind { MessageKind::Gossip };
     NodeKey from;
-    Life life;
+    OrderedIncarnation incarnation;
     std::uint32_t sequence { 0 };
     bool isLeaving { false };
     bool isReady { false }; ///< Holds settings it has checked against peers; its announcements count as answers to a joining node.
--- a/include/swiftloft/membership/rendezvous.h
+++ b/include/swiftloft/membership/rendezvous.h
@@ -13,6 +13,6 @@
 std::uint64_t rendezvousScore(NodeKey member, std::uint64_t subject);
 
 /// The `most` members with the highest scores, best first.
-std::vector<NodeKey> rendezvousChoice(std::span<const NodeKey> members, std::uint64_t subject, std::size_t most);
+std::vector<NodeKey> rendezvousChoice(std::span<const NodeKey> members, std::uint64_t subject, std::size_t maxCount);
 
 } // namespace swiftloft::membership
--- a/include/swiftloft/membership/types.h
+++ b/include/swiftloft/membership/types.h
@@ -75,11 +75,11 @@
 /// Incarnations are random and have no order. `generation` gives one: it is the wall time of the start in milliseconds.
 /// Clocks of two instances may disagree, so a process that hears of a later life of its own id than its own raises its
 /// generation above it, unless the published list says that another address has replaced it.
-struct Life {
+struct OrderedIncarnation {
     std::uint64_t generation { 0 };
-    Incarnation incarnation;
+    Incarnation id;
 
-    friend auto operator<=>(const Life&, const Life&) = default;
+    friend auto operator<=>(const OrderedIncarnation&, const OrderedIncarnation&) = default;
 };
 
 /// Which region each data centre belongs to. A data centre that is not named belongs to the region "".
--- a/src/entry/daemon.cc
+++ b/src/entry/daemon.cc
@@ -273,12 +273,12 @@
         return jsonResponse({ { "message", "no such service in the settings; name one with ?service=NAME" } }, 404);
     auto now = Clock::now();
     membership::AddressAnswerOptions options;
-    options.keepFor = std::chrono::duration_cast<milliseconds>(service->entriesKeepTime);
-    auto answer = membership::answerAddresses(*m_fleetControl->view(), std::nullopt, name, ++m_addressAnswers + m_incarnation.value(), now, options);
+    options.meanLifetime = std::chrono::duration_cast<milliseconds>(service->entriesKeepTime);
+    auto answer = membership::makeAddressAnswer(*m_fleetControl->view(), std::nullopt, name, ++m_addressAnswers + m_incarnation.value(), now, options);
     json::array addresses;
     for (auto& address : answer.addresses)
         addresses.emplace_back(toJson(address.value()));
-    auto keep = std::chrono::floor<seconds>(answer.keepUntil - now);
+    auto keep = std::chrono::floor<seconds>(answer.expiresAt - now);
     auto until = std::chrono::time_point_cast<seconds>(std::chrono::system_clock::now() + keep);
     return jsonResponse({ { "service", toJson(name.value()) }, { "addresses", std::move(addresses) },
         { "keep_until", toJson(fmt::format("{:%Y-%m-%dT%H:%M:%S}Z", until)) }, { "keep_seconds", keep.count() } });
--- a/src/entry/reducer.cc
+++ b/src/entry/reducer.cc
@@ -361,7 +361,7 @@
     // Clients may hold an address list that names this entry, sent a moment ago by a peer that did not yet know that this
     // entry is leaving. Closing the listeners earlier would refuse their connections.
     membership::AddressAnswerOptions answers;
-    answers.keepFor = std::chrono::duration_cast<milliseconds>(m_resolver ? m_resolver->maxKeepTime() : microseconds { 0 });
+    answers.meanLifetime = std::chrono::duration_cast<milliseconds>(m_resolver ? m_resolver->maxKeepTime() : microseconds { 0 });
     m_acceptUntil = membership::acceptUntil(event.now, answers);
     effects.push_back(AnnounceLeaving {});
     advanceLeaving(event.now, effects);
--- a/src/membership/address-answer.cc
+++ b/src/membership/address-answer.cc
@@ -11,10 +11,10 @@
 namespace {
 
 /// Answers end at different times, so that clients who asked together don't all come back together.
-constexpr double keepJitter = 0.2;
+constexpr double lifetimeJitter = 0.2;
 /// For the word of a leaving entry to reach every other entry; the goal for settings is the same.
-constexpr milliseconds spreadTime { 4000 };
-constexpr double smallestWeight = 0.05;
+constexpr milliseconds propagationTime { 4000 };
+constexpr double minWeight = 0.05;
 
 enum class Distance : std::uint8_t {
     SameDataCentre,
@@ -26,47 +26,47 @@
     const ListedInstance* listed { nullptr };
     bool isSuspect { false };
     Distance distance { Distance::Remote };
-    double rank { 0 }; ///< Random, weighted by free capacity; lower goes first.
+    double sortKey { 0 }; ///< Random, weighted by free capacity; lower goes first.
 };
 
-std::set<DataCentreName> nearDataCentres(const View& view, const std::optional<DataCentreName>& client, const ServiceName& service)
+std::set<DataCentreName> preferredDataCentres(const View& view, const std::optional<DataCentreName>& client, const ServiceName& service)
 {
     if (client)
         return { *client };
-    std::set<DataCentreName> near;
+    std::set<DataCentreName> preferred;
     for (auto& member : view.members) {
         if (member.listed->role == Role::Agent && member.listed->service == service && member.isUsable())
-            near.insert(member.listed->dataCentre);
+            preferred.insert(member.listed->dataCentre);
     }
-    return near;
+    return preferred;
 }
 
-Distance distanceOf(const DataCentreName& dataCentre, const std::set<DataCentreName>& near, const Topology& topology)
+Distance distanceOf(const DataCentreName& dataCentre, const std::set<DataCentreName>& preferred, const Topology& topology)
 {
-    if (near.contains(dataCentre))
+    if (preferred.contains(dataCentre))
         return Distance::SameDataCentre;
     auto isSameRegion = [&](const DataCentreName& it) { return topology.isSameRegion(it, dataCentre); };
-    return std::any_of(near.begin(), near.end(), isSameRegion) ? Distance::SameRegion : Distance::Remote;
+    return std::any_of(preferred.begin(), preferred.end(), isSameRegion) ? Distance::SameRegion : Distance::Remote;
 }
 
 /// Sorting by this draws without replacement with probability in proportion to `weight` (Efraimidis and Spirakis).
-double weightedRank(double weight, Random& random)
+double weightedSortKey(double weight, Random& random)
 {
     return -std::log(1.0 - random.unit()) / weight;
 }
 
-bool goesBefore(const Candidate& a, const Candidate& b)
+bool isPreferred(const Candidate& a, const Candidate& b)
 {
     if (a.isSuspect != b.isSuspect)
         return !a.isSuspect;
     if (a.distance != b.distance)
         return a.distance < b.distance;
-    return a.rank < b.rank;
+    return a.sortKey < b.sortKey;
 }
 
-std::vector<Candidate> candidates(const View& view, const std::set<DataCentreName>& near, Random& random, const AddressAnswerOptions& options)
+std::vector<Candidate> rankCandidates(const View& view, const std::set<DataCentreName>& preferred, Random& random, const AddressAnswerOptions& options)
 {
-    std::vector<Candidate> found;
+    std::vector<Candidate> candidates;
     for (auto& member : view.members) {
         if (member.listed->role != Role::Entry || !member.isUsable())
             continue;
@@ -74,48 +74,48 @@
         Candidate candidate;
         candidate.listed = member.listed.get();
         candidate.isSuspect = member.health != Health::Alive;
-        candidate.distance = distanceOf(member.listed->dataCentre, near, view.topology);
-        candidate.rank = weightedRank(std::max(1.0 - load, smallestWeight), random);
-        found.push_back(candidate);
+        candidate.distance = distanceOf(member.listed->dataCentre, preferred, view.topology);
+        candidate.sortKey = weightedSortKey(std::max(1.0 - load, minWeight), random);
+        candidates.push_back(candidate);
     }
-    std::sort(found.begin(), found.end(), goesBefore);
-    return found;
+    std::sort(candidates.begin(), candidates.end(), isPreferred);
+    return candidates;
 }
 
 /// Moves the best candidate of another data centre to the last place of the answer when all of it is in one.
-void mixDataCentres(std::vector<Candidate>& found, std::size_t n)
+void diversifyDataCentres(std::vector<Candidate>& candidates, std::size_t n)
 {
-    if (n < 2 || found.size() <= n)
+    if (n < 2 || candidates.size() <= n)
         return;
-    auto isElsewhere = [&](const Candidate& it) { return it.listed->dataCentre != found[0].listed->dataCentre; };
-    auto answerEnd = found.begin() + static_cast<std::ptrdiff_t>(n);
-    if (std::any_of(found.begin(), answerEnd, isElsewhere))
+    auto isElsewhere = [&](const Candidate& it) { return it.listed->dataCentre != candidates[0].listed->dataCentre; };
+    auto answerEnd = candidates.begin() + static_cast<std::ptrdiff_t>(n);
+    if (std::any_of(candidates.begin(), answerEnd, isElsewhere))
         return;
-    auto other = std::find_if(answerEnd, found.end(), isElsewhere);
-    if (other != found.end() && !other->isSuspect)
-        std::swap(*other, found[n - 1]);
+    auto other = std::find_if(answerEnd, candidates.end(), isElsewhere);
+    if (other != candidates.end() && !other->isSuspect)
+        std::swap(*other, candidates[n - 1]);
 }
 
 } // namespace
 
-AddressAnswer answerAddresses(const View& view, const std::optional<DataCentreName>& client, const ServiceName& service,
+AddressAnswer makeAddressAnswer(const View& view, const std::optional<DataCentreName>& client, const ServiceName& service,
     std::uint64_t seed, TimePoint now, const AddressAnswerOptions& options)
 {
     Random random(seed);
-    auto found = candidates(view, nearDataCentres(view, client, service), random, options);
-    auto n = std::min(options.addresses, found.size());
-    mixDataCentres(found, n);
+    auto candidates = rankCandidates(view, preferredDataCentres(view, client, service), random, options);
+    auto n = std::min(options.maxAddresses, candidates.size());
+    diversifyDataCentres(candidates, n);
     AddressAnswer answer;
     for (std::size_t i = 0; i < n; ++i)
-        answer.addresses.push_back(found[i].listed->address);
-    auto factor = 1.0 + keepJitter * (2.0 * random.unit() - 1.0);
-    answer.keepUntil = now + std::chrono::duration_cast<Clock::duration>(options.keepFor * factor);
+        answer.addresses.push_back(candidates[i].listed->address);
+    auto factor = 1.0 + lifetimeJitter * (2.0 * random.unit() - 1.0);
+    answer.expiresAt = now + std::chrono::duration_cast<Clock::duration>(options.meanLifetime * factor);
     return answer;
 }
 
 TimePoint acceptUntil(TimePoint leftAt, const AddressAnswerOptions& options)
 {
-    return leftAt + spreadTime + std::chrono::duration_cast<Clock::duration>(options.keepFor * (1.0 + keepJitter));
+    return leftAt + propagationTime + std::chrono::duration_cast<Clock::duration>(options.meanLifetime * (1.0 + lifetimeJitter));
 }
 
 } // namespace swiftloft::membership
--- a/src/membership/detector-probes.cc
+++ b/src/membership/detector-probes.cc
@@ -9,13 +9,13 @@
 namespace {
 
 constexpr std::size_t maxRelays = 256;
-constexpr int neighbourAttempts = 8;
+constexpr int maxNeighbourAttempts = 8;
 
 } // namespace
 
 void Detector::startProbe(TimePoint now)
 {
-    auto key = m_schedule.next(m_table, doubtfulDataCentre(), m_random);
+    auto key = m_schedule.next(m_table, suspectDataCentre(), m_random);
     if (!key) {
         // No list yet: seeds are the only way to learn of anybody.
         for (auto& seed : m_seeds)
@@ -29,7 +29,7 @@
 {
     auto nonce = m_random.next();
     m_probes[nonce] = PendingProbe { record.key, now, now + m_options.directTimeout };
-    sendAbout(record, MessageKind::Ping, nonce);
+    sendToMember(record, MessageKind::Ping, nonce);
 }
 
 // What takes one member of a data centre often takes its neighbours: a rack, a switch, the site. One more of them is
@@ -37,8 +37,8 @@
 // after some ten seconds. With one member dead this is one ping.
 void Detector::probeNeighbour(const MemberRecord& suspect, TimePoint now)
 {
-    for (int i = 0; i < neighbourAttempts; ++i) {
-        auto* neighbour = m_table.pick(suspect.locality, m_random);
+    for (int i = 0; i < maxNeighbourAttempts; ++i) {
+        auto* neighbour = m_table.pickRandom(suspect.locality, m_random);
         if (!neighbour || neighbour->health != Health::Alive || neighbour->listed->dataCentre != suspect.listed->dataCentre)
             continue;
         return probe(*neighbour, now);
@@ -46,7 +46,7 @@
 }
 
 /// A data centre of another region that has begun to miss probes and is not yet held unreachable.
-std::optional<DataCentreName> Detector::doubtfulDataCentre() const
+std::optional<DataCentreName> Detector::suspectDataCentre() const
 {
     for (auto& [dataCentre, misses] : m_remoteMisses) {
         if (misses > 0 && misses < missesUntilUnreachable)
@@ -57,36 +57,36 @@
 
 void Detector::expireProbes(TimePoint now)
 {
-    std::vector<PendingProbe> failed;
+    std::vector<PendingProbe> failedProbes;
     for (auto it = m_probes.begin(); it != m_probes.end();) {
         auto& probe = it->second;
         if (now < probe.deadline) {
             ++it;
         } else if (!probe.isIndirect) {
-            askOthers(it->first, probe, now);
+            sendIndirectProbes(it->first, probe, now);
             ++it;
         } else {
-            failed.push_back(probe);
+            failedProbes.push_back(probe);
             it = m_probes.erase(it);
         }
     }
     std::erase_if(m_relays, [now](auto& it) { return now >= it.second.deadline; });
-    for (auto& probe : failed)
-        failProbe(probe, now);
+    for (auto& probe : failedProbes)
+        onProbeFailed(probe, now);
 }
 
 // A one-way cut between two nodes makes the ping or its answer vanish although the target serves everybody else. Other
 // members ping it from where they stand; one of them in another data centre, since a cut often follows a site's edge.
-void Detector::askOthers(std::uint64_t nonce, PendingProbe& probe, TimePoint now)
+void Detector::sendIndirectProbes(std::uint64_t nonce, PendingProbe& probe, TimePoint now)
 {
     probe.isIndirect = true;
     probe.deadline = now + m_options.indirectTimeout;
     for (std::size_t i = 0; i < m_options.indirectProbes; ++i) {
-        auto* relay = m_table.pick(i == 0 ? Locality::SameRegion : Locality::SameDataCentre, m_random);
+        auto* relay = m_table.pickRandom(i == 0 ? Locality::SameRegion : Locality::SameDataCentre, m_random);
         if (!relay)
-            relay = m_table.pick(Locality::SameRegion, m_random);
+            relay = m_table.pickRandom(Locality::SameRegion, m_random);
         if (!relay)
-            relay = m_table.pick(Locality::Remote, m_random);
+            relay = m_table.pickRandom(Locality::Remote, m_random);
         if (!relay || relay->key == probe.target)
             continue;
         auto message = makeMessage(MessageKind::PingRequest);
@@ -98,7 +98,7 @@
 
 // A node that hears nobody (its inbound path is cut, or it is alone) can't tell who is dead. It still sends, and what it
 // sent would make healthy members suspect everywhere. So a judgement made while nothing was heard stays local.
-void Detector::failProbe(const PendingProbe& probe, TimePoint now)
+void Detector::onProbeFailed(const PendingProbe& probe, TimePoint now)
 {
     auto* record = m_table.find(probe.target);
     if (!record || m_isRefreshing)
@@ -109,21 +109,21 @@
             m_isViewDirty = true;
         return;
     }
-    auto hasHeardOthers = m_lastHeard > probe.sentAt;
+    auto hasReceivedAny = m_lastReceivedAt > probe.sentAt;
     if (record->health != Health::Alive)
         return;
-    suspect(*record, !hasHeardOthers, now);
+    markSuspect(*record, !hasReceivedAny, now);
     probeNeighbour(*record, now);
 }
 
-void Detector::suspect(MemberRecord& record, bool isLocalMark, TimePoint now)
+void Detector::markSuspect(MemberRecord& record, bool isHealthLocal, TimePoint now)
 {
     record.health = Health::Suspect;
-    record.isLocalMark = isLocalMark;
+    record.isHealthLocal = isHealthLocal;
     ++m_counters.suspicionsRaised;
-    noteChange(record, Health::Alive, record.isLeaving(), now);
-    if (!isLocalMark)
-        queue(record);
+    recordChange(record, Health::Alive, record.isLeaving(), now);
+    if (!isHealthLocal)
+        queueUpdate(record);
 }
 
 void Detector::expireSuspicions(TimePoint now)
@@ -140,15 +140,15 @@
             continue;
         }
         record->health = Health::Dead;
-        record->isLocalMark = record->isLocalMark || now - m_lastHeard > isolationTime;
+        record->isHealthLocal = record->isHealthLocal || now - m_lastReceivedAt > isolationTimeout;
         ++m_counters.deathsDeclared;
-        noteChange(*record, Health::Suspect, record->isLeaving(), now);
-        if (!record->isLocalMark)
-            queue(*record);
+        recordChange(*record, Health::Suspect, record->isLeaving(), now);
+        if (!record->isHealthLocal)
+            queueUpdate(*record);
     }
 }
 
-void Detector::answerPing(const MessageArrived& event)
+void Detector::replyToPing(const MessageReceived& event)
 {
     // The address may have passed to another instance: an answer would keep the old one alive.
     if (event.message.target != NodeKey() && event.message.target != m_key)
@@ -156,14 +156,14 @@
     auto* sender = m_table.find(event.message.from);
     auto ack = makeMessage(MessageKind::Ack);
     ack.nonce = event.message.nonce;
-    if (sender && sender->health != Health::Alive && !sender->isLocalMark)
-        ack.updates.insert(ack.updates.begin(), sender->update());
+    if (sender && sender->health != Health::Alive && !sender->isHealthLocal)
+        ack.updates.insert(ack.updates.begin(), sender->toUpdate());
     if (ack.updates.size() > maxUpdatesPerMessage)
         ack.updates.resize(maxUpdatesPerMessage);
     send(event.from, std::move(ack));
 }
 
-void Detector::takeAck(const MessageArrived& event)
+void Detector::onAck(const MessageReceived& event)
 {
     auto& message = event.message;
     auto relay = m_relays.extract(message.nonce);
@@ -173,7 +173,7 @@
         ack.target = message.from;
         if (auto* record = m_table.find(message.from)) {
             ack.updates.resize(std::min(ack.updates.size(), maxUpdatesPerMessage - 1));
-            ack.updates.insert(ack.updates.begin(), record->update());
+            ack.updates.insert(ack.updates.begin(), record->toUpdate());
         }
         return send(relay.mapped().origin, std::move(ack));
     }
@@ -190,35 +190,35 @@
         return;
     m_isViewDirty = m_isViewDirty || record->isDirectlyReachable != isDirect;
     record->isDirectlyReachable = isDirect;
-    if (record->isLocalMark) {
-        record->isLocalMark = false;
+    if (record->isHealthLocal) {
+        record->isHealthLocal = false;
         record->health = Health::Alive;
         m_isViewDirty = true;
     }
 }
 
-void Detector::relayPing(const MessageArrived& event)
+void Detector::relayPing(const MessageReceived& event)
 {
     auto* record = m_table.find(event.message.target);
     if (!record || m_relays.size() >= maxRelays)
         return;
     // Says that this node hears the asker: without it, an asker whose target is dead could not tell that from being
     // cut off itself.
-    send(event.from, makeMessage(MessageKind::News));
+    send(event.from, makeMessage(MessageKind::Gossip));
     auto nonce = m_random.next();
     m_relays[nonce] = Relay { event.from, event.message.nonce, event.now + m_options.indirectTimeout };
-    sendAbout(*record, MessageKind::Ping, nonce);
+    sendToMember(*record, MessageKind::Ping, nonce);
 }
 
 /// Sends to the member itself; it is told if it is held suspect or dead, so that it can refute.
-void Detector::sendAbout(const MemberRecord& record, MessageKind kind, std::uint64_t nonce)
+void Detector::sendToMember(const MemberRecord& record, MessageKind kind, std::uint64_t nonce)
 {
     auto message = makeMessage(kind);
     message.nonce = nonce;
     message.target = record.key;
-    if (record.health != Health::Alive && !record.isLocalMark && record.life) {
+    if (record.health != Health::Alive && !record.isHealthLocal && record.incarnation) {
         message.updates.resize(std::min(message.updates.size(), maxUpdatesPerMessage - 1));
-        message.updates.insert(message.updates.begin(), record.update());
+        message.updates.insert(message.updates.begin(), record.toUpdate());
     }
     send(record.listed->peer, std::move(message));
 }
--- a/src/membership/detector-news.cc
+++ b/src/membership/detector-updates.cc
@@ -7,12 +7,12 @@
 
 namespace {
 
-constexpr std::size_t syncMessages = 4;
-constexpr milliseconds revivalInterval { 200 };
+constexpr std::size_t maxSyncMessages = 4;
+constexpr milliseconds revivalNoticeInterval { 200 };
 
 } // namespace
 
-void Detector::mergeSender(const MessageArrived& event)
+void Detector::mergeSender(const MessageReceived& event)
 {
     auto& message = event.message;
     auto* record = m_table.find(message.from);
@@ -25,121 +25,121 @@
     }
     MemberUpdate update;
     update.member = message.from;
-    update.life = message.life;
+    update.incarnation = message.incarnation;
     update.sequence = message.sequence;
     update.isLeaving = message.isLeaving;
     std::vector<MemberUpdate> corrections;
-    mergeOne(update, event.now, corrections);
+    mergeUpdate(update, event.now, corrections);
 }
 
 // After a partition each side holds the other dead, and by then nobody passes that on any more: a member learns of it
 // only when somebody probes it, and refutes. Who hears from a dead member tells it at once, with others of its data
 // centre, and they pass the word on among themselves.
-void Detector::tellRevived(const MessageArrived& event)
+void Detector::notifyRevivedMember(const MessageReceived& event)
 {
     auto* sender = m_table.find(event.message.from);
-    if (!sender || sender->health != Health::Dead || sender->isLocalMark || event.now < m_nextRevival)
+    if (!sender || sender->health != Health::Dead || sender->isHealthLocal || event.now < m_nextRevivalNotice)
         return;
-    m_nextRevival = event.now + revivalInterval;
-    auto news = makeMessage(MessageKind::News);
-    news.updates = { sender->update() };
-    std::vector<MemberUpdate> dead;
+    m_nextRevivalNotice = event.now + revivalNoticeInterval;
+    auto message = makeMessage(MessageKind::Gossip);
+    message.updates = { sender->toUpdate() };
+    std::vector<MemberUpdate> deadUpdates;
     for (auto& record : m_table.records()) {
-        if (record.health == Health::Dead && !record.isLocalMark && record.life && record.listed->dataCentre == sender->listed->dataCentre)
-            dead.push_back(record.update());
+        if (record.health == Health::Dead && !record.isHealthLocal && record.incarnation && record.listed->dataCentre == sender->listed->dataCentre)
+            deadUpdates.push_back(record.toUpdate());
     }
-    m_random.shuffle(dead);
-    auto n = std::min(dead.size(), maxUpdatesPerMessage - news.updates.size());
-    news.updates.insert(news.updates.end(), dead.begin(), dead.begin() + static_cast<std::ptrdiff_t>(n));
-    send(event.from, std::move(news));
+    m_random.shuffle(deadUpdates);
+    auto n = std::min(deadUpdates.size(), maxUpdatesPerMessage - message.updates.size());
+    message.updates.insert(message.updates.end(), deadUpdates.begin(), deadUpdates.begin() + static_cast<std::ptrdiff_t>(n));
+    send(event.from, std::move(message));
 }
 
-void Detector::mergeUpdates(const MessageArrived& event)
+void Detector::mergeUpdates(const MessageReceived& event)
 {
-    auto isSyncAnswer = event.message.kind == MessageKind::News && event.message.nonce != 0 && event.message.nonce == m_syncNonce;
+    auto isSyncReply = event.message.kind == MessageKind::Gossip && event.message.nonce != 0 && event.message.nonce == m_syncNonce;
     std::vector<MemberUpdate> corrections;
     for (auto& update : event.message.updates) {
         // Datagrams that lay in the socket during a pause hold judgements that may long be refuted.
-        if (m_isRefreshing && !isSyncAnswer && update.health != Health::Alive && !update.isLeaving && update.member != m_key)
+        if (m_isRefreshing && !isSyncReply && update.health != Health::Alive && !update.isLeaving && update.member != m_key)
             continue;
         if (update.member == m_key)
-            hearOfSelf(update);
+            onSelfUpdate(update);
         else
-            mergeOne(update, event.now, corrections);
+            mergeUpdate(update, event.now, corrections);
     }
     if (corrections.empty())
         return;
-    Message message = makeMessage(MessageKind::News);
+    Message message = makeMessage(MessageKind::Gossip);
     corrections.resize(std::min(corrections.size(), maxUpdatesPerMessage));
     message.updates = std::move(corrections);
     send(event.from, std::move(message));
 }
 
-void Detector::mergeOne(const MemberUpdate& update, TimePoint now, std::vector<MemberUpdate>& corrections)
+void Detector::mergeUpdate(const MemberUpdate& update, TimePoint now, std::vector<MemberUpdate>& corrections)
 {
     auto* record = m_table.find(update.member);
     if (!record)
         return;
     auto healthBefore = record->health;
     auto wasLeaving = record->isLeaving();
-    auto wasUnknown = !record->life;
-    auto isNewLife = record->life != update.life;
+    auto wasUnknown = !record->incarnation;
+    auto isNewIncarnation = record->incarnation != update.incarnation;
     switch (m_table.merge(update)) {
     case MergeResult::Outdated:
-        corrections.push_back(record->update());
+        corrections.push_back(record->toUpdate());
         return;
     case MergeResult::Unchanged:
         return;
     case MergeResult::Changed:
         break;
     }
-    if (healthBefore != Health::Alive && record->health == Health::Alive && !isNewLife)
+    if (healthBefore != Health::Alive && record->health == Health::Alive && !isNewIncarnation)
         ++(healthBefore == Health::Dead ? m_counters.deathsRefuted : m_counters.suspicionsRefuted);
-    noteChange(*record, healthBefore, wasLeaving, now);
+    recordChange(*record, healthBefore, wasLeaving, now);
     // Learning of a life for the first time is no news to others: passing it on would make each start of a node fill
     // the datagrams of the fleet with what most know.
     if (!wasUnknown || record->health != Health::Alive || record->isLeaving())
-        queue(*record);
+        queueUpdate(*record);
 }
 
 // Others may hold this process suspect or dead (it was cut off or paused), hold an earlier process at this id as the
 // living one, or have learned sooner than itself that it is leaving.
-void Detector::hearOfSelf(const MemberUpdate& update)
+void Detector::onSelfUpdate(const MemberUpdate& update)
 {
-    if (update.life > m_life) {
+    if (update.incarnation > m_incarnation) {
         auto* listed = m_table.find(m_key);
         if (listed && listed->listed->peer != m_self.peer) {
             // Another process has taken this id elsewhere. Raising the generation would make the two push each other
             // out for ever, and callers would go to the old one.
             m_isSuperseded = true;
-            return becomeLeaving();
+            return startLeaving();
         }
-        m_life.generation = update.life.generation + 1;
-        return queueSelf();
+        m_incarnation.generation = update.incarnation.generation + 1;
+        return queueSelfUpdate();
     }
-    if (update.life != m_life && update.life != Life {})
+    if (update.incarnation != m_incarnation && update.incarnation != OrderedIncarnation {})
         return;
     if (update.isLeaving && !m_isLeaving)
-        becomeLeaving();
+        startLeaving();
     if (update.health != Health::Alive && update.sequence >= m_sequence) {
         m_sequence = update.sequence + 1;
         ++m_counters.selfRefutations;
-        queueSelf();
+        queueSelfUpdate();
     }
 }
 
-void Detector::answerSync(const MessageArrived& event)
+void Detector::replyToSync(const MessageReceived& event)
 {
     if (m_isRefreshing)
         return;
     std::vector<MemberUpdate> updates;
     for (auto& record : m_table.records()) {
-        if (record.life && (record.update().health != Health::Alive || record.hasSaidLeaving))
-            updates.push_back(record.update());
+        if (record.incarnation && (record.toUpdate().health != Health::Alive || record.isMarkedLeaving))
+            updates.push_back(record.toUpdate());
     }
     m_random.shuffle(updates);
-    for (std::size_t i = 0; i < syncMessages; ++i) {
-        auto message = makeMessage(MessageKind::News);
+    for (std::size_t i = 0; i < maxSyncMessages; ++i) {
+        auto message = makeMessage(MessageKind::Gossip);
         message.nonce = event.message.nonce;
         auto n = std::min(updates.size(), maxUpdatesPerMessage);
         if (i == 0 || n > 0)
--- a/src/membership/detector.cc
+++ b/src/membership/detector.cc
@@ -12,32 +12,32 @@
 constexpr double probeJitter = 0.1;
 /// Shares of `pickPeers`: this data centre, up to the rest of the region, the rest.
 constexpr double localShare = 0.5;
-constexpr double regionShare = 0.85;
+constexpr double localAndRegionShare = 0.85;
 
 } // namespace
 
-Detector::Detector(ListedInstance self, Life life, Topology topology, DetectorOptions options, std::uint64_t seed)
+Detector::Detector(ListedInstance self, OrderedIncarnation incarnation, Topology topology, DetectorOptions options, std::uint64_t seed)
     : m_self(std::move(self))
     , m_key(keyOf(m_self.id))
-    , m_life(life)
+    , m_incarnation(incarnation)
     , m_options(options)
     , m_random(seed)
     , m_table(m_key, m_self.dataCentre, std::move(topology))
 {
-    queueSelf();
+    queueSelfUpdate();
 }
 
 void Detector::step(const DetectorEvent& event, DetectorEffects& effects)
 {
     m_effects = &effects;
     std::visit([this](const auto& it) {
-        noticePause(it.now);
+        detectPause(it.now);
         on(it);
     },
         event);
-    if (m_hasUrgentNews)
-        pushNews(m_options.relayFanout);
-    m_hasUrgentNews = false;
+    if (m_hasUrgentUpdate)
+        sendGossip(m_options.relayFanout);
+    m_hasUrgentUpdate = false;
     if (m_isViewDirty && m_view) {
         m_view.reset();
         effects.emplace_back(ViewChanged {});
@@ -49,30 +49,30 @@
 // look unrefuted: it would declare live members dead, and tell others. The gap between two events gives the pause away,
 // since ticks come several times a second. All judgements under way are dropped, and none is made before peers have
 // said what happened meanwhile.
-void Detector::noticePause(TimePoint now)
+void Detector::detectPause(TimePoint now)
 {
-    auto gap = now - m_lastEvent;
-    auto isFirst = m_lastEvent == TimePoint();
-    m_lastEvent = now;
+    auto gap = now - m_lastEventAt;
+    auto isFirst = m_lastEventAt == TimePoint();
+    m_lastEventAt = now;
     if (isFirst) {
-        m_lastHeard = now;
+        m_lastReceivedAt = now;
         return;
     }
-    if (gap <= m_options.pauseLimit)
+    if (gap <= m_options.pauseThreshold)
         return;
-    ++m_counters.pausesNoticed;
-    m_effects->emplace_back(PauseNoticed { std::chrono::duration_cast<milliseconds>(gap) });
+    ++m_counters.pausesDetected;
+    m_effects->emplace_back(PauseDetected { std::chrono::duration_cast<milliseconds>(gap) });
     m_isRefreshing = true;
-    m_wokeAt = now;
-    m_lastHeard = now;
-    m_syncAnswers = 0;
+    m_resumedAt = now;
+    m_lastReceivedAt = now;
+    m_syncReplies = 0;
     m_probes.clear();
     m_relays.clear();
-    m_queue.dropJudgements();
-    askSync(now);
+    m_queue.dropHealthUpdates();
+    requestSync(now);
 }
 
-void Detector::askSync(TimePoint now)
+void Detector::requestSync(TimePoint now)
 {
     m_syncNonce = m_random.next();
     m_nextSync = now + syncInterval;
@@ -88,7 +88,7 @@
     m_isRefreshing = false;
     for (auto key : m_suspects) {
         if (auto* record = m_table.find(key))
-            record->suspicionDeadline = now + m_options.suspicionTime;
+            record->suspicionDeadline = now + m_options.suspicionTimeout;
     }
 }
 
@@ -96,15 +96,15 @@
 {
     auto now = event.now;
     if (m_isRefreshing) {
-        auto wanted = std::min<std::size_t>(2, m_table.otherCount());
-        if (m_syncAnswers >= wanted || now >= m_wokeAt + m_options.longestRefresh)
+        auto requiredReplies = std::min<std::size_t>(2, m_table.otherCount());
+        if (m_syncReplies >= requiredReplies || now >= m_resumedAt + m_options.refreshTimeout)
             endRefresh(now);
         else if (now >= m_nextSync)
-            askSync(now);
+            requestSync(now);
     }
     expireProbes(now);
     expireSuspicions(now);
-    gossip(now);
+    gossipIfDue(now);
     if (now >= m_nextProbe) {
         startProbe(now);
         auto jitter = 1.0 + probeJitter * (2.0 * m_random.unit() - 1.0);
@@ -112,12 +112,12 @@
     }
 }
 
-void Detector::dropLocalMarks()
+void Detector::resetLocalHealth()
 {
     for (auto& record : m_table.records()) {
-        if (!record.isLocalMark)
+        if (!record.isHealthLocal)
             continue;
-        record.isLocalMark = false;
+        record.isHealthLocal = false;
         record.health = Health::Alive;
         m_isViewDirty = true;
     }
@@ -125,23 +125,23 @@
 
 // Probes alone carry news too slowly when a whole data centre is lost and there is much of it. News that has not ridden
 // far yet goes to one more peer several times a second, which still keeps within the control budget.
-void Detector::gossip(TimePoint now)
+void Detector::gossipIfDue(TimePoint now)
 {
-    if (now < m_nextGossip || !m_queue.hasFresh())
+    if (now < m_nextGossip || !m_queue.hasFreshUpdates())
         return;
     m_nextGossip = now + m_options.gossipInterval;
-    pushNews(1);
+    sendGossip(1);
 }
 
-void Detector::on(const ListTaken& event)
+void Detector::on(const InstanceListReceived& event)
 {
-    std::vector<NodeKey> wereLeaving;
+    std::vector<NodeKey> leavingBefore;
     for (auto& record : m_table.records()) {
         if (record.isLeaving())
-            wereLeaving.push_back(record.key);
+            leavingBefore.push_back(record.key);
     }
-    std::sort(wereLeaving.begin(), wereLeaving.end());
-    m_table.take(*event.list);
+    std::sort(leavingBefore.begin(), leavingBefore.end());
+    m_table.applyList(*event.list);
     m_listRevision = event.list->revision;
     m_schedule.reset();
     m_queue.setFleetSize(m_table.otherCount() + 1);
@@ -150,100 +150,100 @@
         if (record.listed->state != ListedState::Leaving)
             continue;
         // Sticks to this life also when a later list, read from another replica, says live again.
-        record.hasSaidLeaving = true;
+        record.isMarkedLeaving = true;
         if (record.key == m_key) {
-            becomeLeaving();
-        } else if (!std::binary_search(wereLeaving.begin(), wereLeaving.end(), record.key)) {
-            noteChange(record, record.health, false, event.now);
-            queue(record);
+            startLeaving();
+        } else if (!std::binary_search(leavingBefore.begin(), leavingBefore.end(), record.key)) {
+            recordChange(record, record.health, false, event.now);
+            queueUpdate(record);
         }
     }
 }
 
 void Detector::on(const LeaveRequested&)
 {
-    becomeLeaving();
+    startLeaving();
 }
 
-void Detector::becomeLeaving()
+void Detector::startLeaving()
 {
     if (m_isLeaving)
         return;
     m_isLeaving = true;
     ++m_sequence;
     m_isViewDirty = true;
-    queueSelf();
-    pushNews(m_options.leavingFanout);
+    queueSelfUpdate();
+    sendGossip(m_options.leavingFanout);
     m_effects->emplace_back(SelfLeaving {});
 }
 
-void Detector::on(const MessageArrived& event)
+void Detector::on(const MessageReceived& event)
 {
     auto& message = event.message;
     if (message.from == m_key)
         return;
-    auto wasIsolated = event.now - m_lastHeard > isolationTime;
-    m_lastHeard = event.now;
+    auto wasIsolated = event.now - m_lastReceivedAt > isolationTimeout;
+    m_lastReceivedAt = event.now;
     if (wasIsolated)
-        dropLocalMarks();
+        resetLocalHealth();
     mergeSender(event);
-    tellRevived(event);
-    if (message.kind == MessageKind::News && m_isRefreshing && message.nonce == m_syncNonce)
-        ++m_syncAnswers;
+    notifyRevivedMember(event);
+    if (message.kind == MessageKind::Gossip && m_isRefreshing && message.nonce == m_syncNonce)
+        ++m_syncReplies;
     mergeUpdates(event);
     switch (message.kind) {
     case MessageKind::Ping:
-        return answerPing(event);
+        return replyToPing(event);
     case MessageKind::Ack:
-        return takeAck(event);
+        return onAck(event);
     case MessageKind::PingRequest:
         return relayPing(event);
     case MessageKind::SyncRequest:
-        return answerSync(event);
-    case MessageKind::News:
+        return replyToSync(event);
+    case MessageKind::Gossip:
     case MessageKind::Note:
         return;
     }
 }
 
-void Detector::noteChange(const MemberRecord& record, Health healthBefore, bool wasLeaving, TimePoint now)
+void Detector::recordChange(const MemberRecord& record, Health healthBefore, bool wasLeaving, TimePoint now)
 {
     m_isViewDirty = true;
     if (record.health == Health::Suspect && healthBefore != Health::Suspect) {
-        m_table.find(record.key)->suspicionDeadline = now + m_options.suspicionTime;
+        m_table.find(record.key)->suspicionDeadline = now + m_options.suspicionTimeout;
         m_suspects.push_back(record.key);
     }
-    auto hasLeft = record.isLeaving() && !wasLeaving;
+    auto hasBegunLeaving = record.isLeaving() && !wasLeaving;
     // Callers keep sending to a leaving member until they hear of it, so the word goes on at once.
-    m_hasUrgentNews = m_hasUrgentNews || hasLeft;
-    if (hasLeft || record.health != healthBefore)
+    m_hasUrgentUpdate = m_hasUrgentUpdate || hasBegunLeaving;
+    if (hasBegunLeaving || record.health != healthBefore)
         m_effects->emplace_back(MemberChanged { record.listed->id, record.health, record.isLeaving() });
 }
 
-void Detector::queue(const MemberRecord& record)
+void Detector::queueUpdate(const MemberRecord& record)
 {
     // Without its life a leaving mark could hit the process that follows; the list brings that mark to all anyway. A
     // suspicion may go without: the member refutes it.
-    auto update = record.update();
-    update.isLeaving = update.isLeaving && record.life;
-    if (record.life || update.health != Health::Alive)
+    auto update = record.toUpdate();
+    update.isLeaving = update.isLeaving && record.incarnation;
+    if (record.incarnation || update.health != Health::Alive)
         m_queue.push(update);
 }
 
-void Detector::queueSelf()
+void Detector::queueSelfUpdate()
 {
     MemberUpdate update;
     update.member = m_key;
-    update.life = m_life;
+    update.incarnation = m_incarnation;
     update.sequence = m_sequence;
     update.isLeaving = m_isLeaving;
     m_queue.push(update);
 }
 
-void Detector::pushNews(std::size_t fanout)
+void Detector::sendGossip(std::size_t fanout)
 {
     for (auto& peer : pickPeers(fanout))
-        send(peer, makeMessage(MessageKind::News));
+        send(peer, makeMessage(MessageKind::Gossip));
 }
 
 void Detector::send(const PeerAddress& to, Message message)
@@ -256,14 +256,14 @@
     Message message;
     message.kind = kind;
     message.from = m_key;
-    message.life = m_life;
+    message.incarnation = m_incarnation;
     message.sequence = m_sequence;
     message.isLeaving = m_isLeaving;
     message.updates = m_queue.take(maxUpdatesPerMessage);
     return message;
 }
 
-std::vector<PeerAddress> Detector::pickPeers(std::size_t most)
+std::vector<PeerAddress> Detector::pickPeers(std::size_t maxCount)
 {
     std::vector<PeerAddress> peers;
     auto add = [&](const PeerAddress& peer) {
@@ -273,15 +273,15 @@
     if (m_table.otherCount() == 0) {
         for (auto& seed : m_seeds)
             add(seed);
-        peers.resize(std::min(peers.size(), most));
+        peers.resize(std::min(peers.size(), maxCount));
         return peers;
     }
     constexpr std::size_t attemptsPerPeer = 4;
-    for (std::size_t i = 0; i < most * attemptsPerPeer && peers.size() < most; ++i) {
+    for (std::size_t i = 0; i < maxCount * attemptsPerPeer && peers.size() < maxCount; ++i) {
         auto share = m_random.unit();
-        auto locality = share < localShare ? Locality::SameDataCentre : share < regionShare ? Locality::SameRegion
-                                                                                            : Locality::Remote;
-        if (auto* record = m_table.pick(locality, m_random))
+        auto locality = share < localShare ? Locality::SameDataCentre : share < localAndRegionShare ? Locality::SameRegion
+                                                                                                    : Locality::Remote;
+        if (auto* record = m_table.pickRandom(locality, m_random))
             add(record->listed->peer);
     }
     return peers;
@@ -313,11 +313,11 @@
         member.health = record.health;
         member.isLeaving = record.isLeaving();
         member.isDirectlyReachable = record.isDirectlyReachable;
-        if (record.life)
-            member.incarnation = record.life->incarnation;
+        if (record.incarnation)
+            member.incarnation = record.incarnation->id;
         if (record.key == m_key) {
             member.health = Health::Alive;
-            member.incarnation = m_life.incarnation;
+            member.incarnation = m_incarnation.id;
             member.isLeaving = member.isLeaving || m_isLeaving;
         } else if (record.locality == Locality::Remote && !isDataCentreReachable(record.listed->dataCentre)) {
             member.health = Health::Dead;
--- a/src/membership/detector.h
+++ b/src/membership/detector.h
@@ -17,9 +17,9 @@
     milliseconds gossipInterval { 200 }; ///< Between datagrams that only carry news, while there is any.
     milliseconds directTimeout { 400 }; ///< Of a ping, before others are asked to ping.
     milliseconds indirectTimeout { 600 }; ///< Of the pings of others, before the member is suspect.
-    milliseconds suspicionTime { 3000 }; ///< That a suspect has to refute.
-    milliseconds pauseLimit { 1000 }; ///< A longer gap between two events means that this process stood still.
-    milliseconds longestRefresh { 10'000 }; ///< After a pause, before the node judges again although nobody answered.
+    milliseconds suspicionTimeout { 3000 }; ///< That a suspect has to refute.
+    milliseconds pauseThreshold { 1000 }; ///< A longer gap between two events means that this process stood still.
+    milliseconds refreshTimeout { 10'000 }; ///< After a pause, before the node judges again although nobody answered.
     std::size_t indirectProbes { 3 };
     std::size_t leavingFanout { 8 }; ///< Peers told at once by a process that leaves.
     std::size_t relayFanout { 3 }; ///< Peers told at once by who hears of a leaving member first.
@@ -28,19 +28,19 @@
 struct Tick {
     TimePoint now;
 };
-struct MessageArrived {
+struct MessageReceived {
     PeerAddress from;
     Message message;
     TimePoint now;
 };
-struct ListTaken {
+struct InstanceListReceived {
     std::shared_ptr<const InstanceList> list;
     TimePoint now;
 };
 struct LeaveRequested {
     TimePoint now;
 };
-using DetectorEvent = std::variant<Tick, MessageArrived, ListTaken, LeaveRequested>;
+using DetectorEvent = std::variant<Tick, MessageReceived, InstanceListReceived, LeaveRequested>;
 
 struct SendMessage {
     PeerAddress to;
@@ -55,19 +55,19 @@
     Health health;
     bool isLeaving;
 };
-struct PauseNoticed {
+struct PauseDetected {
     milliseconds length;
 };
-using DetectorEffect = std::variant<SendMessage, ViewChanged, SelfLeaving, MemberChanged, PauseNoticed>;
+using DetectorEffect = std::variant<SendMessage, ViewChanged, SelfLeaving, MemberChanged, PauseDetected>;
 using DetectorEffects = std::vector<DetectorEffect>;
 
 struct DetectorCounters {
     std::uint64_t suspicionsRaised { 0 }; ///< By this node's own probes.
     std::uint64_t suspicionsRefuted { 0 }; ///< Of those and of what peers said: false suspicions.
     std::uint64_t deathsDeclared { 0 };
-    std::uint64_t deathsRefuted { 0 }; ///< A member held dead spoke again within the same life: false deaths.
+    std::uint64_t deathsRefuted { 0 }; ///< A member held dead spoke again within the same incarnation: false deaths.
     std::uint64_t selfRefutations { 0 };
-    std::uint64_t pausesNoticed { 0 };
+    std::uint64_t pausesDetected { 0 };
 };
 
 /// Failure detection and spread of membership news: a reducer over its events.
@@ -79,7 +79,7 @@
 /// judgements to itself.
 class Detector {
 public:
-    Detector(ListedInstance self, Life life, Topology topology, DetectorOptions options, std::uint64_t seed);
+    Detector(ListedInstance self, OrderedIncarnation incarnation, Topology topology, DetectorOptions options, std::uint64_t seed);
 
     void step(const DetectorEvent& event, DetectorEffects& effects);
 
@@ -88,7 +88,7 @@
     /// A message that says who sends it and carries queued updates.
     Message makeMessage(MessageKind kind);
     /// Random peers, about half of them in this data centre, some in the region, a few elsewhere.
-    std::vector<PeerAddress> pickPeers(std::size_t most);
+    std::vector<PeerAddress> pickPeers(std::size_t maxCount);
     /// Remembers a peer that the list does not name yet.
     void addSeed(const PeerAddress& peer);
 
@@ -100,7 +100,7 @@
 
 private:
     /// Silence from everybody after which a node no longer trusts what it believes of others.
-    static constexpr milliseconds isolationTime { 3000 };
+    static constexpr milliseconds isolationTimeout { 3000 };
     static constexpr int missesUntilUnreachable = 3;
 
     struct PendingProbe {
@@ -116,47 +116,47 @@
     };
 
     void on(const Tick& event);
-    void on(const MessageArrived& event);
-    void on(const ListTaken& event);
+    void on(const MessageReceived& event);
+    void on(const InstanceListReceived& event);
     void on(const LeaveRequested& event);
 
-    void noticePause(TimePoint now);
+    void detectPause(TimePoint now);
     void endRefresh(TimePoint now);
     void startProbe(TimePoint now);
     void probe(const MemberRecord& record, TimePoint now);
     void probeNeighbour(const MemberRecord& suspect, TimePoint now);
     void expireProbes(TimePoint now);
-    void askOthers(std::uint64_t nonce, PendingProbe& probe, TimePoint now);
-    void failProbe(const PendingProbe& probe, TimePoint now);
-    void suspect(MemberRecord& record, bool isLocalMark, TimePoint now);
+    void sendIndirectProbes(std::uint64_t nonce, PendingProbe& probe, TimePoint now);
+    void onProbeFailed(const PendingProbe& probe, TimePoint now);
+    void markSuspect(MemberRecord& record, bool isHealthLocal, TimePoint now);
     void expireSuspicions(TimePoint now);
-    void dropLocalMarks();
-    void gossip(TimePoint now);
-    std::optional<DataCentreName> doubtfulDataCentre() const;
-
-    void mergeSender(const MessageArrived& event);
-    void tellRevived(const MessageArrived& event);
-    void mergeUpdates(const MessageArrived& event);
-    void mergeOne(const MemberUpdate& update, TimePoint now, std::vector<MemberUpdate>& corrections);
-    void hearOfSelf(const MemberUpdate& update);
-    void noteChange(const MemberRecord& record, Health healthBefore, bool wasLeaving, TimePoint now);
-    void answerPing(const MessageArrived& event);
-    void takeAck(const MessageArrived& event);
-    void relayPing(const MessageArrived& event);
-    void answerSync(const MessageArrived& event);
-    void askSync(TimePoint now);
-
-    void becomeLeaving();
-    void queue(const MemberRecord& record);
-    void queueSelf();
-    void pushNews(std::size_t fanout);
+    void resetLocalHealth();
+    void gossipIfDue(TimePoint now);
+    std::optional<DataCentreName> suspectDataCentre() const;
+
+    void mergeSender(const MessageReceived& event);
+    void notifyRevivedMember(const MessageReceived& event);
+    void mergeUpdates(const MessageReceived& event);
+    void mergeUpdate(const MemberUpdate& update, TimePoint now, std::vector<MemberUpdate>& corrections);
+    void onSelfUpdate(const MemberUpdate& update);
+    void recordChange(const MemberRecord& record, Health healthBefore, bool wasLeaving, TimePoint now);
+    void replyToPing(const MessageReceived& event);
+    void onAck(const MessageReceived& event);
+    void relayPing(const MessageReceived& event);
+    void replyToSync(const MessageReceived& event);
+    void requestSync(TimePoint now);
+
+    void startLeaving();
+    void queueUpdate(const MemberRecord& record);
+    void queueSelfUpdate();
+    void sendGossip(std::size_t fanout);
     void send(const PeerAddress& to, Message message);
-    void sendAbout(const MemberRecord& record, MessageKind kind, std::uint64_t nonce);
+    void sendToMember(const MemberRecord& record, MessageKind kind, std::uint64_t nonce);
     bool isDataCentreReachable(const DataCentreName& dataCentre) const;
 
     ListedInstance m_self;
     NodeKey m_key;
-    Life m_life;
+    OrderedIncarnation m_incarnation;
     DetectorOptions m_options;
     Random m_random;
     MemberTable m_table;
@@ -171,20 +171,20 @@
     DetectorEffects* m_effects { nullptr }; ///< Only during `step`.
     std::shared_ptr<const View> m_view;
     DetectorCounters m_counters;
-    TimePoint m_lastEvent;
-    TimePoint m_lastHeard;
+    TimePoint m_lastEventAt;
+    TimePoint m_lastReceivedAt;
     TimePoint m_nextProbe;
-    TimePoint m_wokeAt;
+    TimePoint m_resumedAt;
     TimePoint m_nextSync;
     TimePoint m_nextGossip;
-    TimePoint m_nextRevival;
+    TimePoint m_nextRevivalNotice;
     std::uint64_t m_syncNonce { 0 };
-    std::size_t m_syncAnswers { 0 };
+    std::size_t m_syncReplies { 0 };
     std::uint32_t m_sequence { 0 };
     bool m_isLeaving { false };
     bool m_isSuperseded { false };
     bool m_isRefreshing { false };
-    bool m_hasUrgentNews { false };
+    bool m_hasUrgentUpdate { false };
     bool m_isViewDirty { true };
 };
 
--- a/src/membership/instance-list.cc
+++ b/src/membership/instance-list.cc
@@ -18,7 +18,7 @@
     return Error { ErrorCode::MalformedInput, "instance list: " + std::move(message) };
 }
 
-std::string text(const json::object& row, std::string_view key)
+std::string requiredString(const json::object& row, std::string_view key)
 {
     auto* value = row.if_contains(key);
     if (!value || !value->is_string())
@@ -28,15 +28,15 @@
     return std::string(value->get_string());
 }
 
-std::string textOrEmpty(const json::object& row, std::string_view key)
+std::string optionalString(const json::object& row, std::string_view key)
 {
     auto* value = row.if_contains(key);
-    return !value || value->is_null() ? std::string() : text(row, key);
+    return !value || value->is_null() ? std::string() : requiredString(row, key);
 }
 
-Role roleOf(const json::object& row)
+Role parseRole(const json::object& row)
 {
-    auto name = text(row, "role");
+    auto name = requiredString(row, "role");
     if (name == "entry")
         return Role::Entry;
     if (name == "agent")
@@ -44,9 +44,9 @@
     throw Exception(malformed(fmt::format("unknown role '{}'", name)));
 }
 
-ListedState stateOf(const json::object& row)
+ListedState parseState(const json::object& row)
 {
-    auto name = text(row, "state");
+    auto name = requiredString(row, "state");
     if (name == "live")
         return ListedState::Live;
     if (name == "leaving")
@@ -54,7 +54,7 @@
     throw Exception(malformed(fmt::format("unknown state '{}'", name)));
 }
 
-std::optional<RankIndex> rankOf(const json::object& row)
+std::optional<RankIndex> parseRank(const json::object& row)
 {
     auto* value = row.if_contains("rank");
     if (!value || value->is_null())
@@ -66,25 +66,25 @@
     return RankIndex(rank);
 }
 
-ListedInstance instanceOf(const json::value& value)
+ListedInstance parseInstance(const json::value& value)
 {
     if (!value.is_object())
         throw Exception(malformed("an instance is no object"));
     auto& row = value.get_object();
     ListedInstance instance;
-    instance.id = NodeId(text(row, "id"));
-    instance.role = roleOf(row);
-    instance.address = TrafficAddress(text(row, "address"));
-    instance.peer = PeerAddress(text(row, "peer"));
-    instance.dataCentre = DataCentreName(text(row, "data_centre"));
-    instance.service = ServiceName(textOrEmpty(row, "service"));
-    instance.group = EngineGroupName(textOrEmpty(row, "group"));
-    instance.rank = rankOf(row);
-    instance.state = stateOf(row);
+    instance.id = NodeId(requiredString(row, "id"));
+    instance.role = parseRole(row);
+    instance.address = TrafficAddress(requiredString(row, "address"));
+    instance.peer = PeerAddress(requiredString(row, "peer"));
+    instance.dataCentre = DataCentreName(requiredString(row, "data_centre"));
+    instance.service = ServiceName(optionalString(row, "service"));
+    instance.group = EngineGroupName(optionalString(row, "group"));
+    instance.rank = parseRank(row);
+    instance.state = parseState(row);
     return instance;
 }
 
-InstanceList listOf(const json::value& value)
+InstanceList parseList(const json::value& value)
 {
     if (!value.is_object())
         throw Exception(malformed("no object"));
@@ -100,7 +100,7 @@
         throw Exception(malformed("'revision' is no number"));
     list.instances.reserve(instances->get_array().size());
     for (auto& it : instances->get_array())
-        list.instances.push_back(instanceOf(it));
+        list.instances.push_back(parseInstance(it));
     return list;
 }
 
@@ -115,7 +115,7 @@
     if (ec)
         return malformed(ec.message());
     try {
-        return listOf(value);
+        return parseList(value);
     } catch (const Exception& e) {
         return e.error();
     }
--- a/src/membership/member-table.cc
+++ b/src/membership/member-table.cc
@@ -6,28 +6,28 @@
 
 namespace {
 
-constexpr int pickAttempts = 6;
+constexpr int maxPickAttempts = 6;
 
 /// The health to take from a peer's word. A death is only ever declared here, after the member has had its time to
 /// refute: a peer that was cut off or stood still would otherwise get healthy members dropped everywhere at once. And
 /// the health of members of other regions is not followed one by one: regions that lose each other would each hold
 /// thousands suspect and fill their datagrams with it.
-Health hearsay(const MemberRecord& record, Health said)
+Health acceptedHealth(const MemberRecord& record, Health reported)
 {
     if (record.locality == Locality::Remote)
         return Health::Alive;
-    return std::min(said, Health::Suspect);
+    return std::min(reported, Health::Suspect);
 }
 
 } // namespace
 
-MemberUpdate MemberRecord::update() const
+MemberUpdate MemberRecord::toUpdate() const
 {
     MemberUpdate update;
     update.member = key;
-    update.life = life.value_or(Life {});
+    update.incarnation = incarnation.value_or(OrderedIncarnation {});
     update.sequence = sequence;
-    update.health = isLocalMark ? Health::Alive : health;
+    update.health = isHealthLocal ? Health::Alive : health;
     update.isLeaving = isLeaving();
     return update;
 }
@@ -46,7 +46,7 @@
     return m_topology.isSameRegion(dataCentre, m_dataCentre) ? Locality::SameRegion : Locality::Remote;
 }
 
-void MemberTable::take(const InstanceList& list)
+void MemberTable::applyList(const InstanceList& list)
 {
     std::vector<MemberRecord> records;
     records.reserve(list.instances.size());
@@ -64,10 +64,10 @@
     auto isSameId = [](auto& a, auto& b) { return a.listed->id == b.listed->id; };
     records.erase(std::unique(records.begin(), records.end(), isSameId), records.end());
     m_records = std::move(records);
-    index();
+    rebuildIndex();
 }
 
-void MemberTable::index()
+void MemberTable::rebuildIndex()
 {
     m_index.clear();
     for (auto& keys : m_byLocality)
@@ -85,44 +85,44 @@
     if (!record)
         return MergeResult::Unchanged;
     // A suspicion by a node that had not learned of the life yet is about whichever is the present one.
-    if (update.life == Life {} || record->life == update.life)
-        return mergeSameLife(*record, update);
-    if (record->life && update.life < *record->life)
+    if (update.incarnation == OrderedIncarnation {} || record->incarnation == update.incarnation)
+        return mergeSameIncarnation(*record, update);
+    if (record->incarnation && update.incarnation < *record->incarnation)
         return MergeResult::Outdated;
     // A later life owes nothing to the one before: neither its suspicions nor its leaving mark. What the list says of
     // the instance still holds, see `isLeaving`.
-    auto keepsMark = !record->life && record->hasSaidLeaving;
-    record->life = update.life;
+    auto keepsLeavingMark = !record->incarnation && record->isMarkedLeaving;
+    record->incarnation = update.incarnation;
     record->sequence = update.sequence;
-    record->hasSaidLeaving = update.isLeaving || keepsMark;
-    record->health = hearsay(*record, update.health);
-    record->isLocalMark = false;
+    record->isMarkedLeaving = update.isLeaving || keepsLeavingMark;
+    record->health = acceptedHealth(*record, update.health);
+    record->isHealthLocal = false;
     return MergeResult::Changed;
 }
 
-MergeResult MemberTable::mergeSameLife(MemberRecord& record, const MemberUpdate& update)
+MergeResult MemberTable::mergeSameIncarnation(MemberRecord& record, const MemberUpdate& update)
 {
     auto result = MergeResult::Unchanged;
-    if (update.isLeaving && !record.hasSaidLeaving) {
-        record.hasSaidLeaving = true;
+    if (update.isLeaving && !record.isMarkedLeaving) {
+        record.isMarkedLeaving = true;
         result = MergeResult::Changed;
     }
-    auto knowsBetter = record.hasSaidLeaving && !update.isLeaving;
-    auto health = hearsay(record, update.health);
+    auto isSenderOutdated = record.isMarkedLeaving && !update.isLeaving;
+    auto health = acceptedHealth(record, update.health);
     if (update.sequence > record.sequence) {
         if (health != record.health)
             result = MergeResult::Changed;
         record.sequence = update.sequence;
         record.health = health;
-        record.isLocalMark = false;
+        record.isHealthLocal = false;
     } else if (update.sequence < record.sequence) {
-        knowsBetter = knowsBetter || health != Health::Alive;
+        isSenderOutdated = isSenderOutdated || health != Health::Alive;
     } else if (health > record.health) {
         record.health = health;
-        record.isLocalMark = false;
+        record.isHealthLocal = false;
         result = MergeResult::Changed;
     }
-    if (result == MergeResult::Unchanged && knowsBetter)
+    if (result == MergeResult::Unchanged && isSenderOutdated)
         return MergeResult::Outdated;
     return result;
 }
@@ -147,12 +147,12 @@
     return n;
 }
 
-const MemberRecord* MemberTable::pick(Locality locality, Random& random) const
+const MemberRecord* MemberTable::pickRandom(Locality locality, Random& random) const
 {
     auto& keys = others(locality);
     if (keys.empty())
         return nullptr;
-    for (int i = 0; i < pickAttempts; ++i) {
+    for (int i = 0; i < maxPickAttempts; ++i) {
         auto* record = find(keys[random.below(keys.size())]);
         if (record->health != Health::Dead)
             return record;
@@ -162,12 +162,12 @@
 
 std::size_t MemberTable::memoryBytes() const
 {
-    constexpr std::size_t indexNode = 40;
-    constexpr std::size_t listedRow = sizeof(ListedInstance) + 16;
-    auto bytes = m_records.capacity() * sizeof(MemberRecord) + m_index.size() * indexNode + m_index.bucket_count() * sizeof(void*);
+    constexpr std::size_t indexNodeBytes = 40;
+    constexpr std::size_t listedRowBytes = sizeof(ListedInstance) + 16;
+    auto bytes = m_records.capacity() * sizeof(MemberRecord) + m_index.size() * indexNodeBytes + m_index.bucket_count() * sizeof(void*);
     for (auto& keys : m_byLocality)
         bytes += keys.capacity() * sizeof(NodeKey);
-    return bytes + m_records.size() * listedRow;
+    return bytes + m_records.size() * listedRowBytes;
 }
 
 } // namespace swiftloft::membership
--- a/src/membership/member-table.h
+++ b/src/membership/member-table.h
@@ -23,16 +23,16 @@
     NodeKey key;
     std::shared_ptr<const ListedInstance> listed;
     Locality locality { Locality::Remote };
-    std::optional<Life> life;
+    std::optional<OrderedIncarnation> incarnation;
     std::uint32_t sequence { 0 };
     Health health { Health::Alive };
-    bool hasSaidLeaving { false }; ///< Said of its present life by itself, a peer or the list.
+    bool isMarkedLeaving { false }; ///< Said of its present life by itself, a peer or the list.
     bool isDirectlyReachable { true };
-    bool isLocalMark { false }; ///< Its health was judged while nobody could be heard; never passed on.
+    bool isHealthLocal { false }; ///< Its health was judged while nobody could be heard; never passed on.
     TimePoint suspicionDeadline; ///< While suspect: when it is declared dead.
 
-    bool isLeaving() const { return hasSaidLeaving || listed->state == ListedState::Leaving; }
-    MemberUpdate update() const;
+    bool isLeaving() const { return isMarkedLeaving || listed->state == ListedState::Leaving; }
+    MemberUpdate toUpdate() const;
 };
 
 enum class MergeResult {
@@ -47,7 +47,7 @@
     MemberTable(NodeKey self, DataCentreName dataCentre, Topology topology);
 
     /// Takes a list. What is known of a member stays as long as the list names it.
-    void take(const InstanceList& list);
+    void applyList(const InstanceList& list);
     /// Joins what a peer says to the table. Ranks by life, then sequence, then the worse health; a leaving mark stays
     /// for the rest of a life.
     MergeResult merge(const MemberUpdate& update);
@@ -62,7 +62,7 @@
     std::size_t otherCount() const;
 
     /// A random other member at that distance that is not dead, or none.
-    const MemberRecord* pick(Locality locality, Random& random) const;
+    const MemberRecord* pickRandom(Locality locality, Random& random) const;
 
     const Topology& topology() const { return m_topology; }
     std::size_t memoryBytes() const;
@@ -71,8 +71,8 @@
     static constexpr std::size_t localityCount = 3;
 
     Locality localityOf(const DataCentreName& dataCentre) const;
-    void index();
-    MergeResult mergeSameLife(MemberRecord& record, const MemberUpdate& update);
+    void rebuildIndex();
+    MergeResult mergeSameIncarnation(MemberRecord& record, const MemberUpdate& update);
 
     NodeKey m_self;
     DataCentreName m_dataCentre;
--- a/src/membership/message.cc
+++ b/src/membership/message.cc
@@ -25,8 +25,8 @@
 void write(schema::Update::Builder to, const MemberUpdate& update)
 {
     to.setMember(update.member.value());
-    to.setGeneration(update.life.generation);
-    to.setIncarnation(update.life.incarnation.value());
+    to.setGeneration(update.incarnation.generation);
+    to.setIncarnation(update.incarnation.id.value());
     to.setSequence(update.sequence);
     to.setHealth(static_cast<schema::Health>(update.health));
     to.setIsLeaving(update.isLeaving);
@@ -34,20 +34,20 @@
 
 void write(schema::Announcement::Builder to, const Announcement& announcement)
 {
-    constexpr std::int64_t longestAge = std::numeric_limits<std::uint32_t>::max();
+    constexpr std::int64_t maxAge = std::numeric_limits<std::uint32_t>::max();
     to.setTopic(static_cast<schema::Topic>(announcement.topic));
     to.setRevision(announcement.revision.value());
     to.setDigestHigh(announcement.digest.high);
     to.setDigestLow(announcement.digest.low);
-    to.setPlatformAgeMs(static_cast<std::uint32_t>(std::clamp<std::int64_t>(announcement.platformAge.count(), 0, longestAge)));
+    to.setPlatformAgeMs(static_cast<std::uint32_t>(std::clamp<std::int64_t>(announcement.platformAge.count(), 0, maxAge)));
 }
 
 void write(schema::Message::Builder to, const Message& message)
 {
     to.setKind(static_cast<schema::Kind>(message.kind));
     to.setFrom(message.from.value());
-    to.setGeneration(message.life.generation);
-    to.setIncarnation(message.life.incarnation.value());
+    to.setGeneration(message.incarnation.generation);
+    to.setIncarnation(message.incarnation.id.value());
     to.setSequence(message.sequence);
     to.setIsLeaving(message.isLeaving);
     to.setIsReady(message.isReady);
@@ -74,7 +74,7 @@
     auto health = static_cast<std::uint16_t>(from.getHealth());
     MemberUpdate update;
     update.member = NodeKey(from.getMember());
-    update.life = Life { from.getGeneration(), Incarnation(from.getIncarnation()) };
+    update.incarnation = OrderedIncarnation { from.getGeneration(), Incarnation(from.getIncarnation()) };
     update.sequence = from.getSequence();
     update.health = health <= static_cast<std::uint16_t>(Health::Dead) ? static_cast<Health>(health) : Health::Alive;
     update.isLeaving = from.getIsLeaving();
@@ -102,7 +102,7 @@
     Message message;
     message.kind = static_cast<MessageKind>(from.getKind());
     message.from = NodeKey(from.getFrom());
-    message.life = Life { from.getGeneration(), Incarnation(from.getIncarnation()) };
+    message.incarnation = OrderedIncarnation { from.getGeneration(), Incarnation(from.getIncarnation()) };
     message.sequence = from.getSequence();
     message.isLeaving = from.getIsLeaving();
     message.isReady = from.getIsReady();
--- a/src/membership/probe-schedule.h
+++ b/src/membership/probe-schedule.h
@@ -16,7 +16,7 @@
 /// centres are followed: they take turns, and one that has begun to miss probes goes first until it is clear.
 class ProbeSchedule {
 public:
-    std::optional<NodeKey> next(const MemberTable& table, const std::optional<DataCentreName>& doubtful, Random& random);
+    std::optional<NodeKey> next(const MemberTable& table, const std::optional<DataCentreName>& suspectDataCentre, Random& random);
     /// Begins new rounds; to be called when the list has changed.
     void reset();
 
@@ -27,12 +27,12 @@
     };
 
     std::optional<NodeKey> nextNear(Locality locality, const MemberTable& table, Random& random);
-    std::optional<NodeKey> nextRemote(const MemberTable& table, const std::optional<DataCentreName>& doubtful, Random& random);
+    std::optional<NodeKey> nextRemote(const MemberTable& table, const std::optional<DataCentreName>& suspectDataCentre, Random& random);
 
     Round m_rounds[2]; ///< Same data centre and same region.
-    std::map<DataCentreName, std::vector<NodeKey>> m_remote;
-    std::optional<DataCentreName> m_lastRemote;
-    unsigned m_count { 0 };
+    std::map<DataCentreName, std::vector<NodeKey>> m_remoteMembers;
+    std::optional<DataCentreName> m_lastRemoteDataCentre;
+    unsigned m_probeCount { 0 };
 };
 
 } // namespace swiftloft::membership
--- a/src/membership/rendezvous.cc
+++ b/src/membership/rendezvous.cc
@@ -12,10 +12,10 @@
     return z ^ (z >> 31);
 }
 
-std::vector<NodeKey> rendezvousChoice(std::span<const NodeKey> members, std::uint64_t subject, std::size_t most)
+std::vector<NodeKey> rendezvousChoice(std::span<const NodeKey> members, std::uint64_t subject, std::size_t maxCount)
 {
     std::vector<NodeKey> chosen(members.begin(), members.end());
-    auto n = std::min(most, chosen.size());
+    auto n = std::min(maxCount, chosen.size());
     auto isBetter = [subject](NodeKey a, NodeKey b) { return rendezvousScore(a, subject) > rendezvousScore(b, subject); };
     std::partial_sort(chosen.begin(), chosen.begin() + static_cast<std::ptrdiff_t>(n), chosen.end(), isBetter);
     chosen.resize(n);
--- a/src/membership/subset.cc
+++ b/src/membership/subset.cc
@@ -8,13 +8,13 @@
 
 namespace {
 
-struct Ranked {
+struct RankedAgent {
     const ListedInstance* listed { nullptr };
     bool isNear { false };
     std::uint64_t score { 0 };
 };
 
-bool isBetter(const Ranked& a, const Ranked& b)
+bool isBetter(const RankedAgent& a, const RankedAgent& b)
 {
     if (a.isNear != b.isNear)
         return a.isNear;
@@ -26,13 +26,13 @@
 std::vector<NodeId> agentsFor(const View& view, const ListedInstance& entry, const SubsetOptions& options)
 {
     auto subject = keyOf(entry.id).value();
-    std::map<ServiceName, std::vector<Ranked>> byService;
+    std::map<ServiceName, std::vector<RankedAgent>> byService;
     for (auto& member : view.members) {
         if (member.listed->role != Role::Agent || !member.isUsable())
             continue;
         auto isNear = view.topology.isSameRegion(member.listed->dataCentre, entry.dataCentre);
         auto score = rendezvousScore(keyOf(member.listed->id), subject);
-        byService[member.listed->service].push_back(Ranked { member.listed.get(), isNear, score });
+        byService[member.listed->service].push_back(RankedAgent { member.listed.get(), isNear, score });
     }
     std::vector<NodeId> chosen;
     for (auto& [service, ranked] : byService) {
--- a/src/membership/update-queue.cc
+++ b/src/membership/update-queue.cc
@@ -29,9 +29,9 @@
     m_entries.push_back(Entry { update });
 }
 
-std::vector<MemberUpdate> UpdateQueue::take(std::size_t most)
+std::vector<MemberUpdate> UpdateQueue::take(std::size_t maxCount)
 {
-    auto n = std::min(most, m_entries.size());
+    auto n = std::min(maxCount, m_entries.size());
     auto byTransmissions = [](const Entry& a, const Entry& b) { return a.transmissions < b.transmissions; };
     std::partial_sort(m_entries.begin(), m_entries.begin() + static_cast<std::ptrdiff_t>(n), m_entries.end(), byTransmissions);
     std::vector<MemberUpdate> taken;
@@ -44,12 +44,12 @@
     return taken;
 }
 
-bool UpdateQueue::hasFresh() const
+bool UpdateQueue::hasFreshUpdates() const
 {
     return std::any_of(m_entries.begin(), m_entries.end(), [this](const Entry& entry) { return entry.transmissions < m_transmissionLimit / 2; });
 }
 
-void UpdateQueue::dropJudgements()
+void UpdateQueue::dropHealthUpdates()
 {
     std::erase_if(m_entries, [](const Entry& entry) { return entry.update.health != Health::Alive && !entry.update.isLeaving; });
 }
--- a/src/membership/update-queue.h
+++ b/src/membership/update-queue.h
@@ -17,11 +17,11 @@
     /// Replaces what is queued about the same member.
     void push(const MemberUpdate& update);
     /// Takes up to `most` updates and counts one transmission of each.
-    std::vector<MemberUpdate> take(std::size_t most);
+    std::vector<MemberUpdate> take(std::size_t maxCount);
     /// Drops what has been said about the health of members, except of those that are leaving.
-    void dropJudgements();
+    void dropHealthUpdates();
     /// True while some update has ridden less than half its times.
-    bool hasFresh() const;
+    bool hasFreshUpdates() const;
     std::size_t size() const { return m_entries.size(); }
 
 private:
--- a/src/spread/control-node.cc
+++ b/src/spread/control-node.cc
@@ -16,7 +16,7 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 using asio::ip::udp;
-using membership::Life;
+using membership::OrderedIncarnation;
 
 namespace {
 
@@ -35,7 +35,7 @@
         : m_options(std::move(options))
         , m_hooks(std::move(hooks))
         , m_endpoint(std::move(endpoint))
-        , m_control(m_options.self, Life { wallMilliseconds(), m_options.incarnation }, m_options.topology, m_options.control,
+        , m_control(m_options.self, OrderedIncarnation { wallMilliseconds(), m_options.incarnation }, m_options.topology, m_options.control,
               m_hooks.checkSettings, m_options.randomSeed ^ m_options.incarnation.value())
     {
         for (auto& seed : m_options.seeds)
@@ -240,7 +240,7 @@
         log::write(event, "id={} health={}", effect.id.value(), membership::toString(effect.health));
     }
 
-    void perform(const membership::PauseNoticed& effect)
+    void perform(const membership::PauseDetected& effect)
     {
         log::write(log::Event::PauseNoticed, "ms={}", effect.length.count());
     }
--- a/src/spread/control.cc
+++ b/src/spread/control.cc
@@ -21,7 +21,7 @@
 
 } // namespace
 
-Control::Control(membership::ListedInstance self, membership::Life life, membership::Topology topology, ControlOptions options,
+Control::Control(membership::ListedInstance self, membership::OrderedIncarnation life, membership::Topology topology, ControlOptions options,
     Spreader::Check checkSettings, std::uint64_t seed)
     : m_self(self)
     , m_options(options)
@@ -72,7 +72,7 @@
 {
     m_now = event.now;
     auto& message = event.message;
-    stepDetector(membership::MessageArrived { event.from, message, event.now });
+    stepDetector(membership::MessageReceived { event.from, message, event.now });
     if (!m_isReady)
         m_heardPeers.insert(message.from);
     if (!m_isReady && message.isReady)
@@ -83,7 +83,7 @@
         stepSpreader(announcement.topic, AnnouncementHeard { event.from, announcement, event.now });
     }
     // Pings and acks carry announcements both ways; news does not, and its sender may wait long for the next ping.
-    if (isBehind && message.kind == MessageKind::News)
+    if (isBehind && message.kind == MessageKind::Gossip)
         sendNews(event.from);
 }
 
@@ -158,7 +158,7 @@
     list->revision = document.revision();
     if (!m_joinStart)
         m_joinStart = m_now;
-    stepDetector(membership::ListTaken { std::make_shared<const membership::InstanceList>(std::move(*list)), m_now });
+    stepDetector(membership::InstanceListReceived { std::make_shared<const membership::InstanceList>(std::move(*list)), m_now });
     publishView();
 }
 
@@ -170,7 +170,7 @@
 
 void Control::sendNews(const PeerAddress& to)
 {
-    handle(membership::SendMessage { to, m_detector.makeMessage(MessageKind::News) });
+    handle(membership::SendMessage { to, m_detector.makeMessage(MessageKind::Gossip) });
 }
 
 void Control::complete(Message& message) const
@@ -201,7 +201,7 @@
         auto isHere = record.locality == membership::Locality::SameDataCentre && record.key != self;
         // Members judged while nobody was heard count as there: when gossip is blocked everywhere, each node would
         // otherwise take itself for the last one and the whole fleet would watch.
-        auto isThere = record.health == membership::Health::Alive || record.isLocalMark;
+        auto isThere = record.health == membership::Health::Alive || record.isHealthLocal;
         if (isHere && isThere && !record.isLeaving())
             members.push_back(record.key);
     }
--- a/src/spread/control.h
+++ b/src/spread/control.h
@@ -59,14 +59,14 @@
 /// This process is leaving. Once.
 struct NodeLeaving { };
 using ControlEffect = std::variant<membership::SendMessage, CallPlatform, PullBlobs, ViewPublished, SettingsInForce, NodeReady,
-    NodeLeaving, DocumentRefused, RevisionConflict, membership::MemberChanged, membership::PauseNoticed>;
+    NodeLeaving, DocumentRefused, RevisionConflict, membership::MemberChanged, membership::PauseDetected>;
 using ControlEffects = std::vector<ControlEffect>;
 
 /// All control state of one process: membership, spread of settings and of the instance list, and whether it may take
 /// traffic. A reducer over its events; the instance list that the spread brings is fed to membership.
 class Control {
 public:
-    Control(membership::ListedInstance self, membership::Life life, membership::Topology topology, ControlOptions options,
+    Control(membership::ListedInstance self, membership::OrderedIncarnation life, membership::Topology topology, ControlOptions options,
         Spreader::Check checkSettings, std::uint64_t seed);
 
     void step(const ControlEvent& event, ControlEffects& effects);
--- a/test/address-answer_test.cc
+++ b/test/address-answer_test.cc
@@ -51,12 +51,12 @@
 std::vector<std::string> answer(const View& view, std::uint64_t seed, const std::optional<DataCentreName>& client = DataCentreName("a1"), const AddressAnswerOptions& options = {})
 {
     std::vector<std::string> addresses;
-    for (auto& it : answerAddresses(view, client, ServiceName("s"), seed, now, options).addresses)
+    for (auto& it : makeAddressAnswer(view, client, ServiceName("s"), seed, now, options).addresses)
         addresses.push_back(it.value());
     return addresses;
 }
 
-View sixEntries()
+View twelveEntries()
 {
     ViewBuilder builder;
     for (auto* dc : { "a1", "a2", "b1" }) {
@@ -70,7 +70,7 @@
 
 TEST_CASE("Address answer: near first, the last one in another data centre", "[membership]")
 {
-    auto view = sixEntries();
+    auto view = twelveEntries();
     for (std::uint64_t seed = 0; seed < 50; ++seed) {
         auto addresses = answer(view, seed);
         REQUIRE(addresses.size() == 3);
@@ -95,7 +95,7 @@
 
 TEST_CASE("Address answer: spread by load", "[membership]")
 {
-    auto view = sixEntries();
+    auto view = twelveEntries();
     AddressAnswerOptions options;
     options.load = [](const NodeId& id) { return id.value() == "a1-0" ? 0.9 : 0.0; };
     std::map<std::string, int> first;
@@ -121,12 +121,12 @@
     // An entry stops; a peer that has not heard so yet names it to a client, who keeps the answer to its end. The entry
     // must still accept then.
     AddressAnswerOptions options;
-    auto view = sixEntries();
-    constexpr milliseconds hearsLate { 4000 };
+    auto view = twelveEntries();
+    constexpr milliseconds propagationDelay { 4000 };
     for (std::uint64_t seed = 0; seed < 1000; ++seed) {
-        auto given = answerAddresses(view, std::nullopt, ServiceName("s"), seed, now + hearsLate, options);
-        CHECK(given.keepUntil <= acceptUntil(now, options));
-        CHECK(given.keepUntil > now + hearsLate);
+        auto addressAnswer = makeAddressAnswer(view, std::nullopt, ServiceName("s"), seed, now + propagationDelay, options);
+        CHECK(addressAnswer.expiresAt <= acceptUntil(now, options));
+        CHECK(addressAnswer.expiresAt > now + propagationDelay);
     }
 }
 
@@ -168,9 +168,9 @@
     }
     view.members.erase(view.members.begin());
     auto after = agentsFor(view, entry, { 16 });
-    std::vector<NodeId> gone;
-    std::set_difference(chosen.begin(), chosen.end(), after.begin(), after.end(), std::back_inserter(gone));
-    CHECK(gone.size() <= 1);
+    std::vector<NodeId> removed;
+    std::set_difference(chosen.begin(), chosen.end(), after.begin(), after.end(), std::back_inserter(removed));
+    CHECK(removed.size() <= 1);
 }
 
 } // namespace swiftloft::membership
--- a/test/fake-fleet.h
+++ b/test/fake-fleet.h
@@ -139,7 +139,7 @@
     {
         auto& node = *m_nodes[i];
         ++m_lives;
-        membership::Life life { static_cast<std::uint64_t>(m_now.time_since_epoch().count() / 1'000'000), Incarnation(m_random.next()) };
+        membership::OrderedIncarnation life { static_cast<std::uint64_t>(m_now.time_since_epoch().count() / 1'000'000), Incarnation(m_random.next()) };
         node.control = std::make_unique<Control>(node.row, life, m_topology, m_options.control, checkSettings, m_options.seed * 1000 + m_lives);
         node.isDown = false;
         node.wasReady = false;
@@ -210,7 +210,7 @@
             sum.suspicionsRefuted += it.suspicionsRefuted;
             sum.deathsDeclared += it.deathsDeclared;
             sum.deathsRefuted += it.deathsRefuted;
-            sum.pausesNoticed += it.pausesNoticed;
+            sum.pausesDetected += it.pausesDetected;
         }
         return sum;
     }
--- a/test/membership-fleet_test.cc
+++ b/test/membership-fleet_test.cc
@@ -51,9 +51,9 @@
     FakeFleet fleet({});
     startReady(fleet);
     fleet.kill(3);
-    auto took = fleet.runUntil(seconds(20), [&] { return fleet.countHealth(3, Health::Dead) == countRunning(fleet); });
-    REQUIRE(took);
-    CHECK(*took < seconds(12));
+    auto elapsed = fleet.runUntil(seconds(20), [&] { return fleet.countHealth(3, Health::Dead) == countRunning(fleet); });
+    REQUIRE(elapsed);
+    CHECK(*elapsed < seconds(12));
     CHECK(fleet.sumCounters().deathsRefuted == 0);
 }
 
@@ -103,8 +103,8 @@
     fleet.kill(4);
     fleet.run(seconds(1));
     fleet.start(4);
-    auto took = fleet.runUntil(seconds(20), [&] { return countLeaving(fleet, 4) == 0 && fleet.countHealth(4, Health::Alive) == countRunning(fleet) - 1; });
-    CHECK(took);
+    auto elapsed = fleet.runUntil(seconds(20), [&] { return countLeaving(fleet, 4) == 0 && fleet.countHealth(4, Health::Alive) == countRunning(fleet) - 1; });
+    CHECK(elapsed);
 }
 
 TEST_CASE("A one-way cut between two members gets nobody declared dead", "[membership]")
@@ -153,7 +153,7 @@
     auto before = fleet.sumCounters();
     fleet.run(seconds(20));
     auto after = fleet.sumCounters();
-    CHECK(fleet.control(1).detector().counters().pausesNoticed == 1);
+    CHECK(fleet.control(1).detector().counters().pausesDetected == 1);
     CHECK(after.deathsDeclared - before.deathsDeclared == 0);
     CHECK(after.suspicionsRaised - before.suspicionsRaised == 0);
     for (std::size_t i = 0; i < fleet.size(); ++i)
@@ -173,16 +173,16 @@
     for (auto& member : inside.members)
         CHECK((member.health == Health::Dead) == (member.listed->dataCentre.value() != "dc0"));
     fleet.drops = nullptr;
-    auto isWhole = [&] {
+    auto isAllAlive = [&] {
         for (std::size_t i = 0; i < fleet.size(); ++i) {
             if (fleet.countHealth(i, Health::Alive) != fleet.size() - 1)
                 return false;
         }
         return true;
     };
-    auto took = fleet.runUntil(seconds(60), isWhole);
-    REQUIRE(took);
-    CHECK(*took < seconds(10));
+    auto elapsed = fleet.runUntil(seconds(60), isAllAlive);
+    REQUIRE(elapsed);
+    CHECK(*elapsed < seconds(10));
 }
 
 TEST_CASE("Regions that lose each other declare no member dead one by one", "[membership]")
@@ -210,20 +210,20 @@
     // insist, the two would push each other out of every view for ever, and callers would reach either.
     FakeFleet fleet({});
     startReady(fleet);
-    auto old = fleet.node(2).row;
-    membership::Life life { 1, Incarnation(7) };
-    membership::Detector detector(old, life, {}, {}, 1);
-    membership::InstanceList list { Revision(9), { fleet.node(0).row, old } };
+    auto oldRow = fleet.node(2).row;
+    membership::OrderedIncarnation incarnation { 1, Incarnation(7) };
+    membership::Detector detector(oldRow, incarnation, {}, {}, 1);
+    membership::InstanceList list { Revision(9), { fleet.node(0).row, oldRow } };
     list.instances[1].peer = PeerAddress("10.9.9.9:7000");
     membership::DetectorEffects effects;
-    detector.step(membership::ListTaken { std::make_shared<membership::InstanceList>(list), fleet.now() }, effects);
-    Message news;
-    news.from = membership::keyOf(fleet.node(0).row.id);
+    detector.step(membership::InstanceListReceived { std::make_shared<membership::InstanceList>(list), fleet.now() }, effects);
+    Message message;
+    message.from = membership::keyOf(fleet.node(0).row.id);
     membership::MemberUpdate update;
-    update.member = membership::keyOf(old.id);
-    update.life = membership::Life { 2, Incarnation(8) };
-    news.updates = { update };
-    detector.step(membership::MessageArrived { fleet.node(0).row.peer, news, fleet.now() }, effects);
+    update.member = membership::keyOf(oldRow.id);
+    update.incarnation = membership::OrderedIncarnation { 2, Incarnation(8) };
+    message.updates = { update };
+    detector.step(membership::MessageReceived { fleet.node(0).row.peer, message, fleet.now() }, effects);
     CHECK(detector.isLeaving());
 }
 
--- a/test/membership-reducers_test.cc
+++ b/test/membership-reducers_test.cc
@@ -25,20 +25,20 @@
     return InstanceList { Revision(revision), std::move(rows) };
 }
 
-MemberUpdate updateOf(const std::string& id, Life life, std::uint32_t sequence, Health health, bool isLeaving = false)
+MemberUpdate updateOf(const std::string& id, OrderedIncarnation incarnation, std::uint32_t sequence, Health health, bool isLeaving = false)
 {
-    return MemberUpdate { keyOf(NodeId(id)), life, sequence, health, isLeaving };
+    return MemberUpdate { keyOf(NodeId(id)), incarnation, sequence, health, isLeaving };
 }
 
-constexpr std::uint64_t earlier = 100;
-constexpr std::uint64_t later = 200;
-const Life firstLife { earlier, Incarnation(9) };
-const Life secondLife { later, Incarnation(3) };
+constexpr std::uint64_t earlierGeneration = 100;
+constexpr std::uint64_t laterGeneration = 200;
+const OrderedIncarnation firstIncarnation { earlierGeneration, Incarnation(9) };
+const OrderedIncarnation secondIncarnation { laterGeneration, Incarnation(3) };
 
 MemberTable tableOf(std::vector<ListedInstance> rows)
 {
     MemberTable table(keyOf(NodeId("self")), DataCentreName("dc0"), Topology {});
-    table.take(listOf(1, std::move(rows)));
+    table.applyList(listOf(1, std::move(rows)));
     return table;
 }
 
@@ -48,12 +48,12 @@
 {
     auto table = tableOf({ rowOf("self"), rowOf("a") });
     auto& record = *table.find(keyOf(NodeId("a")));
-    CHECK(table.merge(updateOf("a", firstLife, 0, Health::Alive, true)) == MergeResult::Changed);
-    CHECK(table.merge(updateOf("a", firstLife, 7, Health::Alive)) == MergeResult::Outdated);
+    CHECK(table.merge(updateOf("a", firstIncarnation, 0, Health::Alive, true)) == MergeResult::Changed);
+    CHECK(table.merge(updateOf("a", firstIncarnation, 7, Health::Alive)) == MergeResult::Outdated);
     CHECK(record.isLeaving());
-    CHECK(table.merge(updateOf("a", secondLife, 0, Health::Alive)) == MergeResult::Changed);
+    CHECK(table.merge(updateOf("a", secondIncarnation, 0, Health::Alive)) == MergeResult::Changed);
     CHECK_FALSE(record.isLeaving());
-    CHECK(table.merge(updateOf("a", firstLife, 9, Health::Alive, true)) == MergeResult::Outdated);
+    CHECK(table.merge(updateOf("a", firstIncarnation, 9, Health::Alive, true)) == MergeResult::Outdated);
     CHECK_FALSE(record.isLeaving());
 }
 
@@ -64,8 +64,8 @@
     auto row = rowOf("a");
     row.state = ListedState::Leaving;
     auto table = tableOf({ rowOf("self"), row });
-    table.merge(updateOf("a", firstLife, 0, Health::Alive));
-    table.merge(updateOf("a", secondLife, 0, Health::Alive));
+    table.merge(updateOf("a", firstIncarnation, 0, Health::Alive));
+    table.merge(updateOf("a", secondIncarnation, 0, Health::Alive));
     CHECK(table.find(keyOf(NodeId("a")))->isLeaving());
 }
 
@@ -73,13 +73,13 @@
 {
     auto table = tableOf({ rowOf("self"), rowOf("a") });
     auto& record = *table.find(keyOf(NodeId("a")));
-    table.merge(updateOf("a", firstLife, 4, Health::Suspect));
+    table.merge(updateOf("a", firstIncarnation, 4, Health::Suspect));
     CHECK(record.health == Health::Suspect);
-    CHECK(table.merge(updateOf("a", firstLife, 4, Health::Alive)) == MergeResult::Unchanged);
+    CHECK(table.merge(updateOf("a", firstIncarnation, 4, Health::Alive)) == MergeResult::Unchanged);
     CHECK(record.health == Health::Suspect);
-    CHECK(table.merge(updateOf("a", firstLife, 5, Health::Alive)) == MergeResult::Changed);
+    CHECK(table.merge(updateOf("a", firstIncarnation, 5, Health::Alive)) == MergeResult::Changed);
     CHECK(record.health == Health::Alive);
-    CHECK(table.merge(updateOf("a", firstLife, 4, Health::Dead)) == MergeResult::Outdated);
+    CHECK(table.merge(updateOf("a", firstIncarnation, 4, Health::Dead)) == MergeResult::Outdated);
     CHECK(record.health == Health::Alive);
 }
 
@@ -89,12 +89,12 @@
     // those to pass suspicions on, the rest would go on sending work to dead backend servers for minutes.
     auto table = tableOf({ rowOf("self"), rowOf("a") });
     auto& record = *table.find(keyOf(NodeId("a")));
-    table.merge(updateOf("a", firstLife, 0, Health::Alive));
-    CHECK(table.merge(updateOf("a", Life {}, 0, Health::Suspect)) == MergeResult::Changed);
+    table.merge(updateOf("a", firstIncarnation, 0, Health::Alive));
+    CHECK(table.merge(updateOf("a", OrderedIncarnation {}, 0, Health::Suspect)) == MergeResult::Changed);
     CHECK(record.health == Health::Suspect);
-    CHECK(record.life == firstLife);
-    table.merge(updateOf("a", firstLife, 1, Health::Alive));
-    CHECK(table.merge(updateOf("a", Life {}, 0, Health::Suspect)) == MergeResult::Outdated);
+    CHECK(record.incarnation == firstIncarnation);
+    table.merge(updateOf("a", firstIncarnation, 1, Health::Alive));
+    CHECK(table.merge(updateOf("a", OrderedIncarnation {}, 0, Health::Suspect)) == MergeResult::Outdated);
     CHECK(record.health == Health::Alive);
 }
 
@@ -103,30 +103,30 @@
     // A process was cut off, held everybody dead and comes back. Were its word taken, the whole fleet would drop
     // members that serve, until each had heard of it and refuted.
     auto table = tableOf({ rowOf("self"), rowOf("a") });
-    table.merge(updateOf("a", firstLife, 0, Health::Alive));
-    table.merge(updateOf("a", firstLife, 0, Health::Dead));
+    table.merge(updateOf("a", firstIncarnation, 0, Health::Alive));
+    table.merge(updateOf("a", firstIncarnation, 0, Health::Dead));
     CHECK(table.find(keyOf(NodeId("a")))->health == Health::Suspect);
 }
 
 TEST_CASE("MemberTable: what the list no longer names is forgotten", "[membership]")
 {
     auto table = tableOf({ rowOf("self"), rowOf("a"), rowOf("b") });
-    table.merge(updateOf("b", firstLife, 2, Health::Alive));
-    table.take(listOf(2, { rowOf("self"), rowOf("b") }));
+    table.merge(updateOf("b", firstIncarnation, 2, Health::Alive));
+    table.applyList(listOf(2, { rowOf("self"), rowOf("b") }));
     CHECK_FALSE(table.find(keyOf(NodeId("a"))));
     CHECK(table.find(keyOf(NodeId("b")))->sequence == 2);
-    CHECK(table.merge(updateOf("a", firstLife, 0, Health::Alive)) == MergeResult::Unchanged);
+    CHECK(table.merge(updateOf("a", firstIncarnation, 0, Health::Alive)) == MergeResult::Unchanged);
 }
 
 TEST_CASE("UpdateQueue: fresh news goes before what has ridden", "[membership]")
 {
     UpdateQueue queue;
     queue.setFleetSize(100);
-    queue.push(updateOf("a", firstLife, 0, Health::Alive));
+    queue.push(updateOf("a", firstIncarnation, 0, Health::Alive));
     queue.take(1);
-    queue.push(updateOf("b", firstLife, 0, Health::Alive));
+    queue.push(updateOf("b", firstIncarnation, 0, Health::Alive));
     CHECK(queue.take(1)[0].member == keyOf(NodeId("b")));
-    queue.push(updateOf("a", firstLife, 1, Health::Suspect));
+    queue.push(updateOf("a", firstIncarnation, 1, Health::Suspect));
     CHECK(queue.size() == 2);
     for (int i = 0; i < 100; ++i)
         queue.take(2);
@@ -137,34 +137,34 @@
 {
     // A process is replaced and the new machine's clock runs behind. By generation alone the dead one would stay the
     // living one for all peers, and the new one's word would count for nothing.
-    Detector detector(rowOf("self"), firstLife, {}, {}, 1);
+    Detector detector(rowOf("self"), firstIncarnation, {}, {}, 1);
     DetectorEffects effects;
     auto now = TimePoint(std::chrono::hours(1));
-    detector.step(ListTaken { std::make_shared<InstanceList>(listOf(1, { rowOf("self"), rowOf("a") })), now }, effects);
+    detector.step(InstanceListReceived { std::make_shared<InstanceList>(listOf(1, { rowOf("self"), rowOf("a") })), now }, effects);
     Message message;
     message.from = keyOf(NodeId("a"));
-    message.updates = { updateOf("self", secondLife, 0, Health::Alive) };
-    detector.step(MessageArrived { PeerAddress("a:7000"), message, now }, effects);
-    auto life = detector.makeMessage(MessageKind::News).life;
-    CHECK(life > secondLife);
-    CHECK(life.incarnation == firstLife.incarnation);
+    message.updates = { updateOf("self", secondIncarnation, 0, Health::Alive) };
+    detector.step(MessageReceived { PeerAddress("a:7000"), message, now }, effects);
+    auto incarnation = detector.makeMessage(MessageKind::Gossip).incarnation;
+    CHECK(incarnation > secondIncarnation);
+    CHECK(incarnation.id == firstIncarnation.id);
 }
 
 TEST_CASE("Detector: what one list called leaving stays so when a later list says live", "[membership]")
 {
     // A process hangs while the list marks it leaving, so it can't say so itself. Then a list written from an older copy
     // calls it live. Callers would send new work to it just as it is being shut down.
-    Detector detector(rowOf("self"), firstLife, {}, {}, 1);
+    Detector detector(rowOf("self"), firstIncarnation, {}, {}, 1);
     DetectorEffects effects;
     auto now = TimePoint(std::chrono::hours(1));
     auto row = rowOf("a");
-    auto take = [&](std::uint64_t revision, ListedState state) {
+    auto applyList = [&](std::uint64_t revision, ListedState state) {
         row.state = state;
-        detector.step(ListTaken { std::make_shared<InstanceList>(listOf(revision, { row, rowOf("self") })), now }, effects);
+        detector.step(InstanceListReceived { std::make_shared<InstanceList>(listOf(revision, { row, rowOf("self") })), now }, effects);
     };
-    take(1, ListedState::Live);
-    take(2, ListedState::Leaving);
-    take(3, ListedState::Live);
+    applyList(1, ListedState::Live);
+    applyList(2, ListedState::Leaving);
+    applyList(3, ListedState::Live);
     CHECK(detector.view()->find(NodeId("a"))->isLeaving);
 }
 
@@ -173,25 +173,25 @@
     // A process holds a member suspect and stands still for 30 s; meanwhile the member refutes. On waking, datagrams
     // that lay in the socket come first and show that others are there; then the suspicion looks long unrefuted. Were it
     // to count, callers here would lose a healthy backend server, and peers would be told.
-    Detector detector(rowOf("self"), firstLife, {}, {}, 1);
+    Detector detector(rowOf("self"), firstIncarnation, {}, {}, 1);
     DetectorEffects effects;
     auto now = TimePoint(std::chrono::hours(1));
     auto list = std::make_shared<InstanceList>(listOf(1, { rowOf("a"), rowOf("b"), rowOf("c"), rowOf("self") }));
-    detector.step(ListTaken { list, now }, effects);
+    detector.step(InstanceListReceived { list, now }, effects);
     Message message;
     message.from = keyOf(NodeId("b"));
-    message.updates = { updateOf("a", firstLife, 0, Health::Suspect) };
-    detector.step(MessageArrived { PeerAddress("b:7000"), message, now }, effects);
+    message.updates = { updateOf("a", firstIncarnation, 0, Health::Suspect) };
+    detector.step(MessageReceived { PeerAddress("b:7000"), message, now }, effects);
     REQUIRE(detector.view()->find(NodeId("a"))->health == Health::Suspect);
     now += seconds(30);
     message.updates.clear();
-    detector.step(MessageArrived { PeerAddress("b:7000"), message, now }, effects);
+    detector.step(MessageReceived { PeerAddress("b:7000"), message, now }, effects);
     detector.step(Tick { now }, effects);
     CHECK(detector.isRefreshing());
     CHECK(detector.view()->find(NodeId("a"))->health == Health::Suspect);
     CHECK(detector.counters().deathsDeclared == 0);
-    message.updates = { updateOf("c", firstLife, 0, Health::Suspect) };
-    detector.step(MessageArrived { PeerAddress("b:7000"), message, now }, effects);
+    message.updates = { updateOf("c", firstIncarnation, 0, Health::Suspect) };
+    detector.step(MessageReceived { PeerAddress("b:7000"), message, now }, effects);
     CHECK(detector.view()->find(NodeId("c"))->health == Health::Alive);
 }
 
@@ -199,16 +199,16 @@
 {
     // An address passes to another instance while peers still probe the old one there. An answer would keep an instance
     // alive that is gone.
-    Detector detector(rowOf("self"), firstLife, {}, {}, 1);
+    Detector detector(rowOf("self"), firstIncarnation, {}, {}, 1);
     DetectorEffects effects;
     Message ping;
     ping.kind = MessageKind::Ping;
     ping.from = keyOf(NodeId("a"));
     ping.target = keyOf(NodeId("old"));
-    detector.step(MessageArrived { PeerAddress("a:7000"), ping, TimePoint(std::chrono::hours(1)) }, effects);
+    detector.step(MessageReceived { PeerAddress("a:7000"), ping, TimePoint(std::chrono::hours(1)) }, effects);
     CHECK(effects.empty());
     ping.target = keyOf(NodeId("self"));
-    detector.step(MessageArrived { PeerAddress("a:7000"), ping, TimePoint(std::chrono::hours(1)) }, effects);
+    detector.step(MessageReceived { PeerAddress("a:7000"), ping, TimePoint(std::chrono::hours(1)) }, effects);
     REQUIRE(effects.size() == 1);
     CHECK(std::get<SendMessage>(effects[0]).message.kind == MessageKind::Ack);
 }
@@ -218,7 +218,7 @@
     Message message;
     message.kind = MessageKind::PingRequest;
     message.from = NodeKey(~0ull);
-    message.life = Life { ~0ull - 1, Incarnation(~0ull - 2) };
+    message.incarnation = OrderedIncarnation { ~0ull - 1, Incarnation(~0ull - 2) };
     message.sequence = 0xfffffffe;
     message.isLeaving = true;
     message.nonce = ~0ull - 3;
@@ -241,12 +241,12 @@
     Message message;
     message.updates.resize(3);
     message.announcements.resize(2);
-    auto good = encode(message);
+    auto validBytes = encode(message);
     Random random(7);
     std::size_t accepted = 0;
     constexpr int rounds = 50'000;
     for (int i = 0; i < rounds; ++i) {
-        auto bytes = good;
+        auto bytes = validBytes;
         auto flips = 1 + random.below(6);
         for (std::size_t k = 0; k < flips; ++k)
             bytes[random.below(bytes.size())] = static_cast<std::byte>(random.next());
