--- a/include/swiftloft/membership/instance-list.h
+++ b/include/swiftloft/membership/instance-list.h
@@ -5,9 +5,10 @@
 
 namespace swiftloft::membership {
 
-/// Reads the body of `GET /v1/instances`:
+/// Parses the body of `GET /v1/instances`:
 /// `{"revision":N,"instances":[{"id","role":"entry|agent","address","peer","data_centre","service","group","rank","state":"live|leaving"}]}`.
-/// `service`, `group` and `rank` may be missing. Fails with `MalformedInput` as a whole: a list is taken whole or not.
+/// `service`, `group` and `rank` are optional. Fails with `MalformedInput` if any instance is malformed; no partial list
+/// is returned.
 Result<InstanceList> parseInstanceList(std::string_view json);
 
 } // namespace swiftloft::membership
--- a/include/swiftloft/membership/message.h
+++ b/include/swiftloft/membership/message.h
@@ -7,10 +7,10 @@
 #include <span>
 #include <vector>
 
-/// Datagrams between the processes of the system, and their Cap'n Proto form.
+/// Datagrams exchanged between the processes of the system, and their Cap'n Proto encoding.
 namespace swiftloft::membership {
 
-/// A document that the platform publishes, with its own sequence of revisions.
+/// A document published by the platform. Each topic has its own sequence of revisions.
 enum class Topic : std::uint8_t {
     Settings,
     Instances,
@@ -21,7 +21,7 @@
 
 const char* toString(Topic topic);
 
-/// XXH3-128 of some bytes. Names contents; proves nothing against a peer that wants to deceive.
+/// XXH3-128 hash that identifies contents. Not cryptographic: it gives no protection against a malicious peer.
 struct Digest {
     std::uint64_t high { 0 };
     std::uint64_t low { 0 };
@@ -31,61 +31,63 @@
 
 Digest digestOf(std::string_view bytes);
 
-/// What some node says of a member. A leaving mark outranks health: it holds for the rest of that life.
+/// State of a member as reported by a node. A leaving mark takes precedence over health and holds for the rest of the
+/// member's incarnation.
 struct MemberUpdate {
     NodeKey member;
     OrderedIncarnation incarnation;
-    std::uint32_t sequence { 0 }; ///< Raised only by the member itself, to refute a suspicion.
+    std::uint32_t sequence { 0 }; ///< Incremented only by the member itself, to refute a suspicion.
     Health health { Health::Alive };
     bool isLeaving { false };
 
     friend bool operator==(const MemberUpdate&, const MemberUpdate&) = default;
 };
 
-/// The revision of a document that the sender holds whole and valid.
+/// Announces the revision of a document of which the sender holds a complete, valid copy.
 struct Announcement {
     Topic topic { Topic::Settings };
     Revision revision;
-    Digest digest; ///< Of the document's manifest.
-    milliseconds platformAge { 0 }; ///< Since somebody, by what the sender has heard, last had an answer from the platform.
+    Digest digest; ///< Digest of the document's manifest.
+    milliseconds platformAge { 0 }; ///< Time since any node known to the sender last received a response from the platform.
 
     friend bool operator==(const Announcement&, const Announcement&) = default;
 };
 
 enum class MessageKind : std::uint8_t {
     Ping,
-    Ack, ///< Answers a ping, with its nonce.
+    Ack, ///< Replies to a ping and carries its nonce.
     PingRequest, ///< Asks the receiver to ping `target` on the sender's behalf.
-    Gossip, ///< Carries updates and announcements; no answer.
-    SyncRequest, ///< Asks for all that is out of the ordinary; answered by `News`.
-    Note, ///< Carries `note` for the embedding process.
+    Gossip, ///< Carries updates and announcements. Not acknowledged.
+    SyncRequest, ///< Requests the state of all suspect, dead or leaving members. Answered with `Gossip`.
+    Note, ///< Carries application data for the embedding process in `note`.
 };
 
-/// One datagram. `from` to `isReady` describe the sender.
+/// One datagram. The fields `from` to `isReady` describe the sender.
 struct Message {
     MessageKind kind { MessageKind::Gossip };
     NodeKey from;
     OrderedIncarnation incarnation;
     std::uint32_t sequence { 0 };
     bool isLeaving { false };
-    bool isReady { false }; ///< Holds settings it has checked against peers; its announcements count as answers to a joining node.
+    bool isReady { false }; ///< True if the sender has checked its settings against peers. A joining node counts only announcements of ready senders as answers.
     std::uint64_t nonce { 0 };
     NodeKey target;
     std::vector<MemberUpdate> updates;
     std::vector<Announcement> announcements;
-    std::string note; ///< For the embedding process; at most `maxNoteBytes`.
+    std::string note; ///< Application data of the embedding process, at most `maxNoteBytes`.
 
     friend bool operator==(const Message&, const Message&) = default;
 };
 
-/// Most updates one datagram carries; keeps it under 1,200 bytes, so that no network on the way fragments it.
+/// Maximum number of updates in one datagram. Keeps the datagram below 1,200 bytes, so that it is not fragmented on the
+/// network path.
 inline constexpr std::size_t maxUpdatesPerMessage = 24;
 inline constexpr std::size_t maxDatagramBytes = 1200;
 inline constexpr std::size_t maxNoteBytes = 900;
 
 std::vector<std::byte> encode(const Message& message);
 
-/// Fails with `MalformedInput` on bytes that are no message. Any bytes are safe to pass.
+/// Decodes a datagram. Fails with `MalformedInput` if the bytes are not a valid message. Safe on untrusted input.
 Result<Message> decode(std::span<const std::byte> bytes);
 
 } // namespace swiftloft::membership
--- a/include/swiftloft/membership/rendezvous.h
+++ b/include/swiftloft/membership/rendezvous.h
@@ -8,11 +8,12 @@
 
 namespace swiftloft::membership {
 
-/// Score of `member` for `subject`; the members with the highest scores are chosen. Nodes that know the same members
-/// choose alike, and a member that comes or goes moves only the choices it wins or held.
+/// Returns the rendezvous-hashing score of `member` for `subject`. The members with the highest scores are chosen. Nodes
+/// that know the same members make the same choices. A member that joins or leaves changes only the choices that it
+/// wins or had won.
 std::uint64_t rendezvousScore(NodeKey member, std::uint64_t subject);
 
-/// The `most` members with the highest scores, best first.
+/// Returns up to `maxCount` members with the highest scores for `subject`, highest first.
 std::vector<NodeKey> rendezvousChoice(std::span<const NodeKey> members, std::uint64_t subject, std::size_t maxCount);
 
 } // namespace swiftloft::membership
--- a/include/swiftloft/membership/subset.h
+++ b/include/swiftloft/membership/subset.h
@@ -8,14 +8,14 @@
 namespace swiftloft::membership {
 
 struct SubsetOptions {
-    std::size_t agentsPerService { 16 }; ///< Connections an entry keeps for each service.
+    std::size_t agentsPerService { 16 }; ///< Maximum number of agents to which an entry keeps connections for each service.
 };
 
-/// The agents an entry keeps connections to, ordered by id.
+/// Returns the agents to which an entry keeps connections, ordered by id.
 ///
-/// For each service, those with the highest rendezvous scores for this entry among the usable agents of its region;
-/// other regions fill up what the region lacks. Services with few agents are connected to all of them. Two entries
-/// whose views differ connect to different agents for a while, which harms nothing.
+/// For each service, selects the usable agents of the entry's region with the highest rendezvous scores for this entry.
+/// Agents of other regions make up the number if the region has too few. If a service has few agents, all of them are
+/// selected. Entries whose views differ may temporarily connect to different agents, which is harmless.
 std::vector<NodeId> agentsFor(const View& view, const ListedInstance& entry, const SubsetOptions& options);
 
 } // namespace swiftloft::membership
--- a/include/swiftloft/membership/types.h
+++ b/include/swiftloft/membership/types.h
@@ -11,19 +11,20 @@
 #include <string_view>
 #include <vector>
 
-/// Who belongs to the fleet and who can be reached from here.
+/// Membership of the fleet and reachability of its members from this node.
 ///
-/// The published instance list says who may be a member; it lags. Probes and what peers report say who is alive. A
-/// `View` joins both. Nothing about safety may depend on the views of two nodes agreeing.
+/// The published instance list defines which instances may be members, but it lags behind. Probes and reports of peers
+/// show which members are alive. A `View` combines both. The views of two nodes may differ, so no safety property may
+/// depend on their agreement.
 namespace swiftloft::membership {
 
-/// Id of any process of the system, entry or agent, as the published list names it.
+/// Id of a process of the system (entry or agent), as used in the published instance list.
 using NodeId = Strong<struct NodeIdTag, std::string>;
-/// XXH3 of a `NodeId`; stands for it in datagrams.
+/// XXH3 hash of a `NodeId`, which identifies the node in datagrams.
 using NodeKey = Strong<struct NodeKeyTag, std::uint64_t>;
-/// "IP:port" at which a process takes gossip (UDP) and requests for settings parts (TCP).
+/// "IP:port" on which a process receives gossip (UDP) and requests for settings parts (TCP).
 using PeerAddress = Strong<struct PeerAddressTag, std::string>;
-/// "IP:port" at which a process takes the traffic of its callers.
+/// "IP:port" on which a process receives traffic from its callers.
 using TrafficAddress = Strong<struct TrafficAddressTag, std::string>;
 
 NodeKey keyOf(const NodeId& id);
@@ -33,13 +34,13 @@
     Agent,
 };
 
-/// What the published list says of an instance.
+/// State of an instance in the published instance list.
 enum class ListedState : std::uint8_t {
     Live,
     Leaving,
 };
 
-/// What probes say of a member.
+/// Health of a member as found by probes.
 enum class Health : std::uint8_t {
     Alive,
     Suspect,
@@ -49,7 +50,7 @@
 const char* toString(Role role);
 const char* toString(Health health);
 
-/// One row of the published instance list.
+/// One instance in the published instance list.
 struct ListedInstance {
     NodeId id;
     Role role { Role::Entry };
@@ -64,17 +65,18 @@
     friend bool operator==(const ListedInstance&, const ListedInstance&) = default;
 };
 
-/// The published instance list as one revision of it.
+/// One revision of the published instance list.
 struct InstanceList {
     Revision revision;
     std::vector<ListedInstance> instances;
 };
 
-/// One life of a process, ordered against other lives of the same `NodeId`.
+/// One incarnation of a process, ordered relative to other incarnations of the same `NodeId`.
 ///
-/// Incarnations are random and have no order. `generation` gives one: it is the wall time of the start in milliseconds.
-/// Clocks of two instances may disagree, so a process that hears of a later life of its own id than its own raises its
-/// generation above it, unless the published list says that another address has replaced it.
+/// `Incarnation` values are random and have no order. `generation` provides the order: it is the wall-clock time of the
+/// process start in milliseconds. Clocks of two instances may differ, so a process that receives a higher incarnation
+/// for its own id than its own raises its generation above that one, unless the published list gives another address
+/// for the id, which means that the process has been replaced.
 struct OrderedIncarnation {
     std::uint64_t generation { 0 };
     Incarnation id;
@@ -82,7 +84,7 @@
     friend auto operator<=>(const OrderedIncarnation&, const OrderedIncarnation&) = default;
 };
 
-/// Which region each data centre belongs to. A data centre that is not named belongs to the region "".
+/// Maps data centres to regions. A data centre that is not listed belongs to the region "".
 struct Topology {
     std::map<DataCentreName, RegionName> regions;
 
--- a/include/swiftloft/membership/view.h
+++ b/include/swiftloft/membership/view.h
@@ -7,21 +7,22 @@
 
 namespace swiftloft::membership {
 
-/// One member as a node sees it. Cheap to copy: the listed row is shared.
+/// One member as seen by a node. Cheap to copy, because the list entry is shared.
 struct ViewMember {
     std::shared_ptr<const ListedInstance> listed;
-    std::optional<Incarnation> incarnation; ///< Unknown until the member or a peer has said it.
+    std::optional<Incarnation> incarnation; ///< Unknown until the member or a peer has reported it.
     Health health { Health::Alive };
-    bool isLeaving { false }; ///< Never false again within one incarnation.
-    bool isDirectlyReachable { true }; ///< False while only other members reach it (a one-way cut).
+    bool isLeaving { false }; ///< Once true, stays true for the rest of the incarnation.
+    bool isDirectlyReachable { true }; ///< False while only other members can reach it, as in a one-way network fault.
 
-    /// True when new work may be sent to it.
+    /// Returns true if new work may be sent to the member.
     bool isUsable() const { return !isLeaving && health != Health::Dead; }
 };
 
-/// What one node believes of the fleet at one time; never changed once published.
+/// Snapshot of the fleet as seen by one node. Immutable once published.
 ///
-/// Members of other regions are not probed one by one: their health is `Alive` while their data centre answers.
+/// Members of other regions are not probed individually. Their health is `Alive` while their data centre responds to
+/// probes.
 struct View {
     Revision listRevision;
     Topology topology;
