--- a/include/swiftloft/membership/address-answer.h
+++ b/include/swiftloft/membership/address-answer.h
@@ -32,9 +32,9 @@
 AddressAnswer makeAddressAnswer(const View& view, const std::optional<DataCentreName>& client, const ServiceName& service,
     std::uint64_t seed, TimePoint now, const AddressAnswerOptions& options);
 
-/// Returns the time until which an entry that starts leaving at `leftAt` must keep accepting connections. This is the
-/// longest time for which a client may hold an answer from a peer that had not yet received the leaving mark. Until
-/// then, the entry tells clients with each response to request a new address answer.
+/// Returns the time until which an entry that starts leaving at `leftAt` must keep accepting connections. This covers
+/// the longest time for which a client may hold an answer from a peer that had not yet received the leaving mark. Until
+/// then, every response of the entry asks the client to request a new address answer.
 TimePoint acceptUntil(TimePoint leftAt, const AddressAnswerOptions& options);
 
 } // namespace swiftloft::membership
--- a/include/swiftloft/membership/message.h
+++ b/include/swiftloft/membership/message.h
@@ -48,7 +48,8 @@
     Topic topic { Topic::Settings };
     Revision revision;
     Digest digest; ///< Digest of the document's manifest.
-    milliseconds platformAge { 0 }; ///< Time since any node known to the sender last received a response from the platform.
+    /// Time since any node last received a response from the platform, as far as the sender knows.
+    milliseconds platformAge { 0 };
 
     friend bool operator==(const Announcement&, const Announcement&) = default;
 };
@@ -69,7 +70,9 @@
     OrderedIncarnation incarnation;
     std::uint32_t sequence { 0 };
     bool isLeaving { false };
-    bool isReady { false }; ///< True if the sender has checked its settings against peers. A joining node counts only announcements of ready senders as answers.
+    /// True if the sender has checked its settings against peers. A joining node counts only announcements of ready
+    /// senders as answers.
+    bool isReady { false };
     std::uint64_t nonce { 0 };
     NodeKey target;
     std::vector<MemberUpdate> updates;
--- a/include/swiftloft/membership/rendezvous.h
+++ b/include/swiftloft/membership/rendezvous.h
@@ -8,9 +8,9 @@
 
 namespace swiftloft::membership {
 
-/// Returns the rendezvous-hashing score of `member` for `subject`. The members with the highest scores are chosen. Nodes
-/// that know the same members make the same choices. A member that joins or leaves changes only the choices that it
-/// wins or had won.
+/// Returns the score of `member` for `subject` in rendezvous hashing. The members with the highest scores are chosen.
+/// Nodes that know the same members make the same choices. A member that joins or leaves changes only the choices that
+/// it wins or had won.
 std::uint64_t rendezvousScore(NodeKey member, std::uint64_t subject);
 
 /// Returns up to `maxCount` members with the highest scores for `subject`, highest first.
--- a/include/swiftloft/membership/subset.h
+++ b/include/swiftloft/membership/subset.h
@@ -8,7 +8,7 @@
 namespace swiftloft::membership {
 
 struct SubsetOptions {
-    std::size_t agentsPerService { 16 }; ///< Maximum number of agents to which an entry keeps connections for each service.
+    std::size_t agentsPerService { 16 }; ///< Maximum number of agents an entry connects to for each service.
 };
 
 /// Returns the agents to which an entry keeps connections, ordered by id.
--- a/src/membership/address-answer.cc
+++ b/src/membership/address-answer.cc
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// Answers end at different times, so that clients who asked together don't all come back together.
+/// Spreads the expiry of answers, so that clients that asked at the same time do not all ask again at the same time.
 constexpr double lifetimeJitter = 0.2;
-/// For the word of a leaving entry to reach every other entry; the goal for settings is the same.
+/// Time for a leaving mark to reach every other entry. The same target applies to settings.
 constexpr milliseconds propagationTime { 4000 };
 constexpr double minWeight = 0.05;
 
@@ -26,7 +26,7 @@
     const ListedInstance* listed { nullptr };
     bool isSuspect { false };
     Distance distance { Distance::Remote };
-    double sortKey { 0 }; ///< Random, weighted by free capacity; lower goes first.
+    double sortKey { 0 }; ///< Random, weighted by free capacity. Lower keys go first.
 };
 
 std::set<DataCentreName> preferredDataCentres(const View& view, const std::optional<DataCentreName>& client, const ServiceName& service)
@@ -49,7 +49,8 @@
     return std::any_of(preferred.begin(), preferred.end(), isSameRegion) ? Distance::SameRegion : Distance::Remote;
 }
 
-/// Sorting by this draws without replacement with probability in proportion to `weight` (Efraimidis and Spirakis).
+/// Returns a random sort key. Sorting by it samples without replacement with probability proportional to `weight`
+/// (Efraimidis and Spirakis).
 double weightedSortKey(double weight, Random& random)
 {
     return -std::log(1.0 - random.unit()) / weight;
@@ -82,7 +83,8 @@
     return candidates;
 }
 
-/// Moves the best candidate of another data centre to the last place of the answer when all of it is in one.
+/// If the first `n` candidates are all in one data centre, replaces the last of them by the best candidate of another
+/// data centre, unless that one is suspect.
 void diversifyDataCentres(std::vector<Candidate>& candidates, std::size_t n)
 {
     if (n < 2 || candidates.size() <= n)
--- a/src/membership/detector-probes.cc
+++ b/src/membership/detector-probes.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-// The probing half of the detector: pings, pings for others, suspicion and death.
+// Part of the detector that sends direct and indirect pings and declares members suspect or dead.
 namespace swiftloft::membership {
 
 namespace {
@@ -17,7 +17,7 @@
 {
     auto key = m_schedule.next(m_table, suspectDataCentre(), m_random);
     if (!key) {
-        // No list yet: seeds are the only way to learn of anybody.
+        // Without an instance list, seeds are the only known peers.
         for (auto& seed : m_seeds)
             send(seed, makeMessage(MessageKind::Ping));
         return;
@@ -32,9 +32,10 @@
     sendToMember(record, MessageKind::Ping, nonce);
 }
 
-// What takes one member of a data centre often takes its neighbours: a rack, a switch, the site. One more of them is
-// probed at once for each that is newly suspect; were they left to their turns, the last of a hundred would be found
-// after some ten seconds. With one member dead this is one ping.
+// Members of a data centre often fail together, because a rack, a switch or the site fails. For each newly suspect
+// member, one more member of its data centre is probed immediately. If they waited for their turns, the last of a
+// hundred failed members would be detected only after about ten seconds. If only one member is dead, this costs one
+// ping.
 void Detector::probeNeighbour(const MemberRecord& suspect, TimePoint now)
 {
     for (int i = 0; i < maxNeighbourAttempts; ++i) {
@@ -45,7 +46,7 @@
     }
 }
 
-/// A data centre of another region that has begun to miss probes and is not yet held unreachable.
+/// Returns a data centre of another region that has begun to miss probes but is not yet considered unreachable.
 std::optional<DataCentreName> Detector::suspectDataCentre() const
 {
     for (auto& [dataCentre, misses] : m_remoteMisses) {
@@ -75,8 +76,9 @@
         onProbeFailed(probe, now);
 }
 
-// A one-way cut between two nodes makes the ping or its answer vanish although the target serves everybody else. Other
-// members ping it from where they stand; one of them in another data centre, since a cut often follows a site's edge.
+// A one-way network fault between two nodes drops the ping or its reply although all others can reach the target. So
+// other members ping it on behalf of this node. One of them is in another data centre, because such faults often occur
+// at the edge of a site.
 void Detector::sendIndirectProbes(std::uint64_t nonce, PendingProbe& probe, TimePoint now)
 {
     probe.isIndirect = true;
@@ -96,8 +98,9 @@
     }
 }
 
-// A node that hears nobody (its inbound path is cut, or it is alone) can't tell who is dead. It still sends, and what it
-// sent would make healthy members suspect everywhere. So a judgement made while nothing was heard stays local.
+// A node that receives no messages (its inbound path is broken, or it is isolated) cannot tell which members are dead.
+// It can still send, and its suspicions would make healthy members suspect everywhere. So a judgement made while
+// nothing was received stays local.
 void Detector::onProbeFailed(const PendingProbe& probe, TimePoint now)
 {
     auto* record = m_table.find(probe.target);
@@ -150,7 +153,7 @@
 
 void Detector::replyToPing(const MessageReceived& event)
 {
-    // The address may have passed to another instance: an answer would keep the old one alive.
+    // The address may have been reassigned to this instance: a reply would keep the old instance alive.
     if (event.message.target != NodeKey() && event.message.target != m_key)
         return;
     auto* sender = m_table.find(event.message.from);
@@ -202,15 +205,15 @@
     auto* record = m_table.find(event.message.target);
     if (!record || m_relays.size() >= maxRelays)
         return;
-    // Says that this node hears the asker: without it, an asker whose target is dead could not tell that from being
-    // cut off itself.
+    // Shows the requester that its messages arrive. Without this reply, a requester whose target is dead could not
+    // distinguish that from being isolated itself.
     send(event.from, makeMessage(MessageKind::Gossip));
     auto nonce = m_random.next();
     m_relays[nonce] = Relay { event.from, event.message.nonce, event.now + m_options.indirectTimeout };
     sendToMember(*record, MessageKind::Ping, nonce);
 }
 
-/// Sends to the member itself; it is told if it is held suspect or dead, so that it can refute.
+/// Sends a message to the member itself. If the member is suspect or dead, the message says so, so that it can refute.
 void Detector::sendToMember(const MemberRecord& record, MessageKind kind, std::uint64_t nonce)
 {
     auto message = makeMessage(kind);
--- a/src/membership/detector-updates.cc
+++ b/src/membership/detector-updates.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-// The news half of the detector: what senders and their updates say, and what is told them in return.
+// Part of the detector that merges the state of senders and their updates, and replies with corrections.
 namespace swiftloft::membership {
 
 namespace {
@@ -32,9 +32,10 @@
     mergeUpdate(update, event.now, corrections);
 }
 
-// After a partition each side holds the other dead, and by then nobody passes that on any more: a member learns of it
-// only when somebody probes it, and refutes. Who hears from a dead member tells it at once, with others of its data
-// centre, and they pass the word on among themselves.
+// After a partition, each side considers the other dead, but no longer gossips these deaths: a member would learn of
+// its death, and refute it, only when it is probed. So a node that receives a message from a dead member immediately
+// notifies that member of its own death and of the deaths of other members of its data centre, which gossip them among
+// themselves.
 void Detector::notifyRevivedMember(const MessageReceived& event)
 {
     auto* sender = m_table.find(event.message.from);
@@ -59,7 +60,7 @@
     auto isSyncReply = event.message.kind == MessageKind::Gossip && event.message.nonce != 0 && event.message.nonce == m_syncNonce;
     std::vector<MemberUpdate> corrections;
     for (auto& update : event.message.updates) {
-        // Datagrams that lay in the socket during a pause hold judgements that may long be refuted.
+        // Datagrams that were queued in the socket during a pause may contain judgements that have since been refuted.
         if (m_isRefreshing && !isSyncReply && update.health != Health::Alive && !update.isLeaving && update.member != m_key)
             continue;
         if (update.member == m_key)
@@ -96,21 +97,21 @@
     if (healthBefore != Health::Alive && record->health == Health::Alive && !isNewIncarnation)
         ++(healthBefore == Health::Dead ? m_counters.deathsRefuted : m_counters.suspicionsRefuted);
     recordChange(*record, healthBefore, wasLeaving, now);
-    // Learning of a life for the first time is no news to others: passing it on would make each start of a node fill
-    // the datagrams of the fleet with what most know.
+    // An incarnation seen for the first time is not gossiped: otherwise, each start of a node would fill the datagrams
+    // of the fleet with information that most nodes already have.
     if (!wasUnknown || record->health != Health::Alive || record->isLeaving())
         queueUpdate(*record);
 }
 
-// Others may hold this process suspect or dead (it was cut off or paused), hold an earlier process at this id as the
-// living one, or have learned sooner than itself that it is leaving.
+// Peers may consider this process suspect or dead (after a network fault or a pause), may know an earlier process with
+// this id as the current one, or may have learned before this process that it is leaving.
 void Detector::onSelfUpdate(const MemberUpdate& update)
 {
     if (update.incarnation > m_incarnation) {
         auto* listed = m_table.find(m_key);
         if (listed && listed->listed->peer != m_self.peer) {
-            // Another process has taken this id elsewhere. Raising the generation would make the two push each other
-            // out for ever, and callers would go to the old one.
+            // Another process at another address has taken over this id. If this process raised its generation, the two
+            // would keep replacing each other forever, and callers would be sent to the old process.
             m_isSuperseded = true;
             return startLeaving();
         }
--- a/src/membership/detector.cc
+++ b/src/membership/detector.cc
@@ -10,7 +10,8 @@
 constexpr std::size_t syncPeers = 3;
 constexpr milliseconds syncInterval { 1000 };
 constexpr double probeJitter = 0.1;
-/// Shares of `pickPeers`: this data centre, up to the rest of the region, the rest.
+/// Cumulative shares of the peers returned by `pickPeers`: those in this data centre, and those in this region
+/// including this data centre. The rest are in other regions.
 constexpr double localShare = 0.5;
 constexpr double localAndRegionShare = 0.85;
 
@@ -45,10 +46,10 @@
     m_effects = nullptr;
 }
 
-// A process that stood still (stopped, swapped out, starved) wakes with probes that look unanswered and suspicions that
-// look unrefuted: it would declare live members dead, and tell others. The gap between two events gives the pause away,
-// since ticks come several times a second. All judgements under way are dropped, and none is made before peers have
-// said what happened meanwhile.
+// A process that was paused (stopped, swapped out or starved of CPU time) resumes with probes that seem unanswered and
+// suspicions that seem unrefuted. It would declare live members dead and gossip that. Ticks come several times a
+// second, so a long gap between two events reveals the pause. All pending judgements are then dropped, and no new ones
+// are made until peers have reported what happened in the meantime.
 void Detector::detectPause(TimePoint now)
 {
     auto gap = now - m_lastEventAt;
@@ -123,8 +124,9 @@
     }
 }
 
-// Probes alone carry news too slowly when a whole data centre is lost and there is much of it. News that has not ridden
-// far yet goes to one more peer several times a second, which still keeps within the control budget.
+// Probes alone spread updates too slowly if a whole data centre is lost and there are many updates. So updates that
+// have not been sent often are sent to one more peer several times a second, which stays within the budget for control
+// traffic.
 void Detector::gossipIfDue(TimePoint now)
 {
     if (now < m_nextGossip || !m_queue.hasFreshUpdates())
@@ -149,7 +151,7 @@
     for (auto& record : m_table.records()) {
         if (record.listed->state != ListedState::Leaving)
             continue;
-        // Sticks to this life also when a later list, read from another replica, says live again.
+        // The mark is kept for this incarnation even if a later list, read from another replica, reports it live again.
         record.isMarkedLeaving = true;
         if (record.key == m_key) {
             startLeaving();
@@ -214,7 +216,7 @@
         m_suspects.push_back(record.key);
     }
     auto hasBegunLeaving = record.isLeaving() && !wasLeaving;
-    // Callers keep sending to a leaving member until they hear of it, so the word goes on at once.
+    // Callers send to a leaving member until they learn that it is leaving, so the update is sent immediately.
     m_hasUrgentUpdate = m_hasUrgentUpdate || hasBegunLeaving;
     if (hasBegunLeaving || record.health != healthBefore)
         m_effects->emplace_back(MemberChanged { record.listed->id, record.health, record.isLeaving() });
@@ -222,8 +224,8 @@
 
 void Detector::queueUpdate(const MemberRecord& record)
 {
-    // Without its life a leaving mark could hit the process that follows; the list brings that mark to all anyway. A
-    // suspicion may go without: the member refutes it.
+    // A leaving mark without an incarnation could be applied to the next process with this id, and the instance list
+    // distributes such a mark anyway. A suspicion may be sent without an incarnation, because the member can refute it.
     auto update = record.toUpdate();
     update.isLeaving = update.isLeaving && record.incarnation;
     if (record.incarnation || update.health != Health::Alive)
--- a/src/membership/detector.h
+++ b/src/membership/detector.h
@@ -11,18 +11,19 @@
 
 namespace swiftloft::membership {
 
-/// Times and counts of failure detection. The defaults are those of docs/design/membership.md.
+/// Intervals, timeouts and fan-outs of failure detection. The defaults are given in docs/design/membership.md.
 struct DetectorOptions {
     milliseconds probeInterval { 500 };
-    milliseconds gossipInterval { 200 }; ///< Between datagrams that only carry news, while there is any.
-    milliseconds directTimeout { 400 }; ///< Of a ping, before others are asked to ping.
-    milliseconds indirectTimeout { 600 }; ///< Of the pings of others, before the member is suspect.
-    milliseconds suspicionTimeout { 3000 }; ///< That a suspect has to refute.
-    milliseconds pauseThreshold { 1000 }; ///< A longer gap between two events means that this process stood still.
-    milliseconds refreshTimeout { 10'000 }; ///< After a pause, before the node judges again although nobody answered.
-    std::size_t indirectProbes { 3 };
-    std::size_t leavingFanout { 8 }; ///< Peers told at once by a process that leaves.
-    std::size_t relayFanout { 3 }; ///< Peers told at once by who hears of a leaving member first.
+    milliseconds gossipInterval { 200 }; ///< Between datagrams that only carry updates, while fresh ones are queued.
+    milliseconds directTimeout { 400 }; ///< Wait for the reply to a ping before peers are asked to ping the member.
+    milliseconds indirectTimeout { 600 }; ///< Wait for the indirect pings before the member becomes suspect.
+    milliseconds suspicionTimeout { 3000 }; ///< Time within which a suspect has to refute the suspicion.
+    milliseconds pauseThreshold { 1000 }; ///< A longer gap between two events means that this process was paused.
+    /// Time after a pause for which this node waits for peers before it judges the health of members again.
+    milliseconds refreshTimeout { 10'000 };
+    std::size_t indirectProbes { 3 }; ///< Peers asked to ping a member that did not reply.
+    std::size_t leavingFanout { 8 }; ///< Peers notified immediately by a process that starts leaving.
+    std::size_t relayFanout { 3 }; ///< Peers notified immediately by a node that learns that a member is leaving.
 };
 
 struct Tick {
@@ -46,9 +47,9 @@
     PeerAddress to;
     Message message;
 };
-/// `Detector::view()` gives a new view.
+/// `Detector::view()` returns a new view.
 struct ViewChanged { };
-/// This process is leaving: it was told to, or the list or a peer says so.
+/// This process has started leaving, either on request or because the list or a peer marks it as leaving.
 struct SelfLeaving { };
 struct MemberChanged {
     NodeId id;
@@ -62,34 +63,40 @@
 using DetectorEffects = std::vector<DetectorEffect>;
 
 struct DetectorCounters {
-    std::uint64_t suspicionsRaised { 0 }; ///< By this node's own probes.
-    std::uint64_t suspicionsRefuted { 0 }; ///< Of those and of what peers said: false suspicions.
+    std::uint64_t suspicionsRaised { 0 }; ///< Suspicions raised by this node's own probes.
+    std::uint64_t suspicionsRefuted { 0 }; ///< False suspicions, raised by this node or reported by peers.
     std::uint64_t deathsDeclared { 0 };
-    std::uint64_t deathsRefuted { 0 }; ///< A member held dead spoke again within the same incarnation: false deaths.
-    std::uint64_t selfRefutations { 0 };
+    std::uint64_t deathsRefuted { 0 }; ///< False deaths: a dead member became alive again in the same incarnation.
+    std::uint64_t selfRefutations { 0 }; ///< Suspicions or deaths of this process that it refuted.
     std::uint64_t pausesDetected { 0 };
 };
 
-/// Failure detection and spread of membership news: a reducer over its events.
+/// Failure detector and gossip of membership updates, implemented as a reducer over its events.
 ///
-/// As SWIM (Das, Gupta, Motivala 2002): a ping each interval to one member; no answer, pings through others; no answer,
-/// suspicion, which the member may refute by a higher sequence; no refutation, death. With these differences: death is
-/// never taken from a peer's word, only from the node's own wait for a refutation; it can be refuted too, since a paused process wakes; a leaving mark never goes within one life; members of other regions
-/// are followed by data centre; and a node that has reason to doubt itself (it stood still, or hears nobody) keeps its
-/// judgements to itself.
+/// Follows SWIM (Das, Gupta, Motivala 2002): in each interval, the node pings one member. If the member does not reply,
+/// the node asks peers to ping it. If they get no reply either, the member becomes suspect, which it can refute with a
+/// higher sequence. If it does not refute the suspicion in time, it is declared dead.
+///
+/// Differences from SWIM:
+/// - A death reported by a peer is never adopted. A node declares a death only after its own wait for a refutation.
+/// - A death can be refuted too, because a paused process may resume.
+/// - A leaving mark is never cleared within one incarnation.
+/// - Members of other regions are tracked by data centre.
+/// - A node that may itself be at fault (it was paused, or receives no messages) does not share its judgements.
 class Detector {
 public:
     Detector(ListedInstance self, OrderedIncarnation incarnation, Topology topology, DetectorOptions options, std::uint64_t seed);
 
     void step(const DetectorEvent& event, DetectorEffects& effects);
 
-    /// Built anew only after a change.
+    /// Returns the current view. Rebuilt only after a change.
     std::shared_ptr<const View> view();
-    /// A message that says who sends it and carries queued updates.
+    /// Returns a message that describes this node as its sender and carries queued updates.
     Message makeMessage(MessageKind kind);
-    /// Random peers, about half of them in this data centre, some in the region, a few elsewhere.
+    /// Returns up to `maxCount` random peers: about half of them in this data centre, some in the rest of the region
+    /// and a few elsewhere.
     std::vector<PeerAddress> pickPeers(std::size_t maxCount);
-    /// Remembers a peer that the list does not name yet.
+    /// Adds a peer that is not in the instance list yet.
     void addSeed(const PeerAddress& peer);
 
     const DetectorCounters& counters() const { return m_counters; }
@@ -99,7 +106,7 @@
     std::size_t memoryBytes() const;
 
 private:
-    /// Silence from everybody after which a node no longer trusts what it believes of others.
+    /// Time without a message from any member after which a node no longer trusts its judgements of other members.
     static constexpr milliseconds isolationTimeout { 3000 };
     static constexpr int missesUntilUnreachable = 3;
 
@@ -165,10 +172,10 @@
     UpdateQueue m_queue;
     std::vector<PeerAddress> m_seeds;
     std::map<std::uint64_t, PendingProbe> m_probes; ///< By nonce.
-    std::map<std::uint64_t, Relay> m_relays; ///< By the nonce of the ping sent for another.
+    std::map<std::uint64_t, Relay> m_relays; ///< By the nonce of the ping sent on behalf of another node.
     std::vector<NodeKey> m_suspects;
-    std::map<DataCentreName, int> m_remoteMisses; ///< Failed probes in a row into each data centre of other regions.
-    DetectorEffects* m_effects { nullptr }; ///< Only during `step`.
+    std::map<DataCentreName, int> m_remoteMisses; ///< Consecutive failed probes per data centre of other regions.
+    DetectorEffects* m_effects { nullptr }; ///< Set only during `step`.
     std::shared_ptr<const View> m_view;
     DetectorCounters m_counters;
     TimePoint m_lastEventAt;
--- a/src/membership/gossip.capnp
+++ b/src/membership/gossip.capnp
@@ -1,4 +1,4 @@
-# Datagrams between the processes of the system: probes, what is known of members, revisions held.
+# Datagrams exchanged between the processes of the system: probes, member state and announced revisions.
 
 @0xb1f0c87a3e5d9c11;
 
@@ -11,7 +11,7 @@
   pingRequest @2;
   news @3;
   syncRequest @4;
-  note @5;                         # for the embedding process; see Message.note
+  note @5;                         # application data for the embedding process, in Message.note
 }
 
 enum Health {
@@ -26,7 +26,7 @@
 }
 
 struct Update {
-  member @0 :UInt64;               # XXH3 of the member's id
+  member @0 :UInt64;               # XXH3 hash of the member's id
   generation @1 :UInt64;
   incarnation @2 :UInt64;
   sequence @3 :UInt32;
--- a/src/membership/instance-list.cc
+++ b/src/membership/instance-list.cc
@@ -22,9 +22,9 @@
 {
     auto* value = row.if_contains(key);
     if (!value || !value->is_string())
-        throw Exception(malformed(fmt::format("'{}' is missing or no string", key)));
+        throw Exception(malformed(fmt::format("field '{}' is missing or is not a string", key)));
     if (value->get_string().size() > maxIdBytes)
-        throw Exception(malformed(fmt::format("'{}' is longer than {} bytes", key, maxIdBytes)));
+        throw Exception(malformed(fmt::format("field '{}' is longer than {} bytes", key, maxIdBytes)));
     return std::string(value->get_string());
 }
 
@@ -41,7 +41,7 @@
         return Role::Entry;
     if (name == "agent")
         return Role::Agent;
-    throw Exception(malformed(fmt::format("unknown role '{}'", name)));
+    throw Exception(malformed(fmt::format("unknown role '{}', expected 'entry' or 'agent'", name)));
 }
 
 ListedState parseState(const json::object& row)
@@ -51,7 +51,7 @@
         return ListedState::Live;
     if (name == "leaving")
         return ListedState::Leaving;
-    throw Exception(malformed(fmt::format("unknown state '{}'", name)));
+    throw Exception(malformed(fmt::format("unknown state '{}', expected 'live' or 'leaving'", name)));
 }
 
 std::optional<RankIndex> parseRank(const json::object& row)
@@ -62,14 +62,14 @@
     boost::system::error_code ec;
     auto rank = value->to_number<std::uint32_t>(ec);
     if (ec)
-        throw Exception(malformed("'rank' is no number"));
+        throw Exception(malformed("field 'rank' is not a 32-bit unsigned integer"));
     return RankIndex(rank);
 }
 
 ListedInstance parseInstance(const json::value& value)
 {
     if (!value.is_object())
-        throw Exception(malformed("an instance is no object"));
+        throw Exception(malformed("an element of 'instances' is not an object"));
     auto& row = value.get_object();
     ListedInstance instance;
     instance.id = NodeId(requiredString(row, "id"));
@@ -87,17 +87,17 @@
 InstanceList parseList(const json::value& value)
 {
     if (!value.is_object())
-        throw Exception(malformed("no object"));
+        throw Exception(malformed("the document is not an object"));
     auto& root = value.get_object();
     auto* revision = root.if_contains("revision");
     auto* instances = root.if_contains("instances");
     boost::system::error_code ec;
     if (!revision || !instances || !instances->is_array())
-        throw Exception(malformed("'revision' or 'instances' is missing"));
+        throw Exception(malformed("field 'revision' is missing, or 'instances' is missing or is not an array"));
     InstanceList list;
     list.revision = Revision(revision->to_number<std::uint64_t>(ec));
     if (ec)
-        throw Exception(malformed("'revision' is no number"));
+        throw Exception(malformed("field 'revision' is not a 64-bit unsigned integer"));
     list.instances.reserve(instances->get_array().size());
     for (auto& it : instances->get_array())
         list.instances.push_back(parseInstance(it));
@@ -109,7 +109,7 @@
 Result<InstanceList> parseInstanceList(std::string_view text)
 {
     boost::system::error_code ec;
-    // The parsed tree is thrown away at once; its memory is taken in few large blocks.
+    // The parsed tree is discarded after conversion, so it is allocated in a few large blocks.
     json::monotonic_resource memory;
     auto value = json::parse(text, ec, &memory);
     if (ec)
--- a/src/membership/member-table.cc
+++ b/src/membership/member-table.cc
@@ -8,10 +8,10 @@
 
 constexpr int maxPickAttempts = 6;
 
-/// The health to take from a peer's word. A death is only ever declared here, after the member has had its time to
-/// refute: a peer that was cut off or stood still would otherwise get healthy members dropped everywhere at once. And
-/// the health of members of other regions is not followed one by one: regions that lose each other would each hold
-/// thousands suspect and fill their datagrams with it.
+/// Returns the health to adopt from a peer's report. A reported death is only adopted as a suspicion, because this node
+/// declares a death only after the member has had time to refute: otherwise, a peer that was isolated or paused could
+/// get healthy members dropped everywhere at once. The health of members of other regions is not tracked individually:
+/// regions that lose contact would each consider thousands of members suspect and fill their datagrams with updates.
 Health acceptedHealth(const MemberRecord& record, Health reported)
 {
     if (record.locality == Locality::Remote)
@@ -84,13 +84,13 @@
     auto* record = find(update.member);
     if (!record)
         return MergeResult::Unchanged;
-    // A suspicion by a node that had not learned of the life yet is about whichever is the present one.
+    // A suspicion from a node that does not know the incarnation yet applies to the current one.
     if (update.incarnation == OrderedIncarnation {} || record->incarnation == update.incarnation)
         return mergeSameIncarnation(*record, update);
     if (record->incarnation && update.incarnation < *record->incarnation)
         return MergeResult::Outdated;
-    // A later life owes nothing to the one before: neither its suspicions nor its leaving mark. What the list says of
-    // the instance still holds, see `isLeaving`.
+    // A new incarnation does not inherit the suspicions or the leaving mark of the previous one. The state of the
+    // instance in the list still applies, see `isLeaving`.
     auto keepsLeavingMark = !record->incarnation && record->isMarkedLeaving;
     record->incarnation = update.incarnation;
     record->sequence = update.sequence;
--- a/src/membership/member-table.h
+++ b/src/membership/member-table.h
@@ -11,14 +11,14 @@
 
 namespace swiftloft::membership {
 
-/// How far a member is from this node.
+/// Distance between a member and this node.
 enum class Locality : std::uint8_t {
     SameDataCentre,
     SameRegion,
     Remote,
 };
 
-/// What this node holds of one listed member.
+/// State that this node keeps for one listed member.
 struct MemberRecord {
     NodeKey key;
     std::shared_ptr<const ListedInstance> listed;
@@ -26,30 +26,31 @@
     std::optional<OrderedIncarnation> incarnation;
     std::uint32_t sequence { 0 };
     Health health { Health::Alive };
-    bool isMarkedLeaving { false }; ///< Said of its present life by itself, a peer or the list.
+    bool isMarkedLeaving { false }; ///< The member, a peer or the list marked the current incarnation as leaving.
     bool isDirectlyReachable { true };
-    bool isHealthLocal { false }; ///< Its health was judged while nobody could be heard; never passed on.
-    TimePoint suspicionDeadline; ///< While suspect: when it is declared dead.
+    bool isHealthLocal { false }; ///< `health` was judged while nothing was received. Never shared with peers.
+    TimePoint suspicionDeadline; ///< Time at which a suspect is declared dead.
 
     bool isLeaving() const { return isMarkedLeaving || listed->state == ListedState::Leaving; }
+    /// Returns the state to share with peers.
     MemberUpdate toUpdate() const;
 };
 
 enum class MergeResult {
     Unchanged,
     Changed,
-    Outdated, ///< The table knows better; the sender should hear so.
+    Outdated, ///< The table has newer state, which should be sent to the sender.
 };
 
-/// The members that the published list names, with what probes and peers say of them.
+/// The members in the published list, with their state from probes and reports of peers.
 class MemberTable {
 public:
     MemberTable(NodeKey self, DataCentreName dataCentre, Topology topology);
 
-    /// Takes a list. What is known of a member stays as long as the list names it.
+    /// Replaces the list. The state of a member is kept as long as the list contains the member.
     void applyList(const InstanceList& list);
-    /// Joins what a peer says to the table. Ranks by life, then sequence, then the worse health; a leaving mark stays
-    /// for the rest of a life.
+    /// Merges an update from a peer. The higher incarnation wins, then the higher sequence, then the worse health. A
+    /// leaving mark is kept for the rest of the incarnation.
     MergeResult merge(const MemberUpdate& update);
 
     MemberRecord* find(NodeKey key);
@@ -57,11 +58,12 @@
     std::vector<MemberRecord>& records() { return m_records; }
     const std::vector<MemberRecord>& records() const { return m_records; }
 
-    /// Keys of the other members at a distance.
+    /// Returns the keys of the other members at the given distance.
     const std::vector<NodeKey>& others(Locality locality) const { return m_byLocality[static_cast<std::size_t>(locality)]; }
     std::size_t otherCount() const;
 
-    /// A random other member at that distance that is not dead, or none.
+    /// Returns a random other member at the given distance that is not dead. May return null even if there is one,
+    /// because the number of attempts is limited.
     const MemberRecord* pickRandom(Locality locality, Random& random) const;
 
     const Topology& topology() const { return m_topology; }
--- a/src/membership/message.cc
+++ b/src/membership/message.cc
@@ -15,10 +15,11 @@
 
 namespace {
 
-/// A datagram of 1,200 bytes unpacks to less than this; a longer walk means a message that points at itself.
+/// A datagram of 1,200 bytes unpacks to fewer words. A longer traversal means that the message contains pointers into
+/// itself.
 constexpr std::uint64_t traversalLimitWords = 2048;
 constexpr int nestingLimit = 4;
-/// Packing can only shrink zero bytes; 2,500 words is over any message this program writes.
+/// Packing removes only zero bytes. 2,500 words is more than any message that this program encodes.
 constexpr std::size_t maxAnnouncements = 4;
 constexpr std::size_t scratchWords = 256;
 
@@ -70,7 +71,7 @@
 
 MemberUpdate read(schema::Update::Reader from)
 {
-    // Enum values past the known ones come from a newer or a broken peer; the mildest reading does least harm.
+    // Unknown enum values come from a newer or a faulty peer. `Alive` is the least harmful interpretation.
     auto health = static_cast<std::uint16_t>(from.getHealth());
     MemberUpdate update;
     update.member = NodeKey(from.getMember());
@@ -94,7 +95,7 @@
 Result<Message> read(schema::Message::Reader from)
 {
     if (static_cast<std::uint16_t>(from.getKind()) > static_cast<std::uint16_t>(MessageKind::Note))
-        return malformed("unknown kind");
+        return malformed("unknown message kind");
     if (from.getUpdates().size() > maxUpdatesPerMessage)
         return malformed("too many updates");
     if (from.getAnnouncements().size() > maxAnnouncements)
@@ -110,7 +111,7 @@
     message.target = NodeKey(from.getTarget());
     auto note = from.getNote();
     if (note.size() > maxNoteBytes)
-        return malformed("a note that is too long");
+        return malformed("note is too long");
     message.note.assign(reinterpret_cast<const char*>(note.begin()), note.size());
     for (auto update : from.getUpdates())
         message.updates.push_back(read(update));
@@ -149,7 +150,7 @@
 Result<Message> decode(std::span<const std::byte> bytes)
 {
     if (bytes.size() > maxDatagramBytes)
-        return malformed("longer than any that is sent");
+        return malformed("longer than the maximum datagram size");
     try {
         kj::ArrayInputStream in(kj::arrayPtr(reinterpret_cast<const kj::byte*>(bytes.data()), bytes.size()));
         capnp::ReaderOptions options;
--- a/src/membership/probe-schedule.h
+++ b/src/membership/probe-schedule.h
@@ -8,16 +8,18 @@
 
 namespace swiftloft::membership {
 
-/// Which member to probe next.
+/// Selects the member to probe next.
 ///
-/// Half of the probes stay in this data centre; a quarter goes to the rest of the region and a quarter beyond it. Near
-/// members are walked in shuffled rounds, so that each waits a bounded time for its probe. Dead ones are passed over
-/// most of the time: they must be tried now and then to notice a healed partition. Of other regions only the data
-/// centres are followed: they take turns, and one that has begun to miss probes goes first until it is clear.
+/// Half of the probes go to this data centre, a quarter to the rest of the region and a quarter to other regions.
+/// Members of this region are probed in shuffled rounds, which bounds the time that each waits for its probe. Dead
+/// members are skipped most of the time, but must be probed occasionally to detect that a partition has healed. Other
+/// regions are tracked by data centre: their data centres are probed in turn, and one that has begun to miss probes
+/// goes first until it either responds or is considered unreachable.
 class ProbeSchedule {
 public:
+    /// Returns the next member to probe. `suspectDataCentre` is a data centre of another region that has missed probes.
     std::optional<NodeKey> next(const MemberTable& table, const std::optional<DataCentreName>& suspectDataCentre, Random& random);
-    /// Begins new rounds; to be called when the list has changed.
+    /// Starts new rounds. Must be called when the instance list has changed.
     void reset();
 
 private:
@@ -29,7 +31,7 @@
     std::optional<NodeKey> nextNear(Locality locality, const MemberTable& table, Random& random);
     std::optional<NodeKey> nextRemote(const MemberTable& table, const std::optional<DataCentreName>& suspectDataCentre, Random& random);
 
-    Round m_rounds[2]; ///< Same data centre and same region.
+    Round m_rounds[2]; ///< Indexed by `Locality::SameDataCentre` and `Locality::SameRegion`.
     std::map<DataCentreName, std::vector<NodeKey>> m_remoteMembers;
     std::optional<DataCentreName> m_lastRemoteDataCentre;
     unsigned m_probeCount { 0 };
--- a/src/membership/random.h
+++ b/src/membership/random.h
@@ -7,8 +7,8 @@
 
 namespace swiftloft::membership {
 
-/// Seeded generator (splitmix64). Part of a reducer's state, so that the same events give the same effects on every
-/// run and with every standard library.
+/// Seeded pseudo-random number generator (splitmix64). Part of a reducer's state, so that the same events produce the
+/// same effects in every run and with every standard library.
 class Random {
 public:
     explicit Random(std::uint64_t seed)
@@ -25,10 +25,10 @@
         return z ^ (z >> 31);
     }
 
-    /// Below `bound`, which is above 0.
+    /// Returns a number in [0, bound). `bound` must be greater than 0.
     std::size_t below(std::size_t bound) { return static_cast<std::size_t>(next() % bound); }
 
-    /// In [0, 1).
+    /// Returns a number in [0, 1).
     double unit() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
 
     template <typename T>
--- a/src/membership/update-queue.cc
+++ b/src/membership/update-queue.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr unsigned transmissionFactor = 3;
-/// Bounds memory and time when a whole data centre is lost; what falls out is the news that has ridden most.
+/// Bounds memory and time if a whole data centre is lost. The update that has been sent most often is evicted first.
 constexpr std::size_t maxEntries = 2048;
 
 } // namespace
--- a/src/membership/update-queue.h
+++ b/src/membership/update-queue.h
@@ -7,20 +7,21 @@
 
 namespace swiftloft::membership {
 
-/// Updates that wait to ride on outgoing datagrams.
+/// Queue of updates that are piggybacked on outgoing datagrams.
 ///
-/// Each rides a number of times that grows with the logarithm of the fleet, which is enough for all to hear it with
-/// near certainty. Those that have ridden least go first, so that a burst of old news can't hold back fresh news.
+/// Each update is sent a number of times that grows with the logarithm of the fleet size, which is enough to reach all
+/// members with near certainty. The updates sent least often go first, so that a burst of old updates does not delay
+/// new ones.
 class UpdateQueue {
 public:
     void setFleetSize(std::size_t members);
-    /// Replaces what is queued about the same member.
+    /// Queues an update. Replaces a queued update for the same member.
     void push(const MemberUpdate& update);
-    /// Takes up to `most` updates and counts one transmission of each.
+    /// Returns up to `maxCount` updates and counts one transmission of each.
     std::vector<MemberUpdate> take(std::size_t maxCount);
-    /// Drops what has been said about the health of members, except of those that are leaving.
+    /// Drops updates that report a member as suspect or dead, except those that also carry a leaving mark.
     void dropHealthUpdates();
-    /// True while some update has ridden less than half its times.
+    /// Returns true if any update has been sent less than half of its times.
     bool hasFreshUpdates() const;
     std::size_t size() const { return m_entries.size(); }
 
