--- a/test/address-answer_test.cc
+++ b/test/address-answer_test.cc
@@ -68,7 +68,7 @@
 
 } // namespace
 
-TEST_CASE("Address answer: near first, the last one in another data centre", "[membership]")
+TEST_CASE("Address answer: nearest entries first, the last one in another data centre", "[membership]")
 {
     auto view = twelveEntries();
     for (std::uint64_t seed = 0; seed < 50; ++seed) {
@@ -81,9 +81,9 @@
     }
 }
 
-TEST_CASE("Address answer: never one that is leaving or dead", "[membership]")
+TEST_CASE("Address answer: no leaving or dead entries", "[membership]")
 {
-    // A client is sent to an entry that is shutting down, keeps the address for seconds, and meets a closed port.
+    // A client receives the address of an entry that is shutting down, keeps it for seconds and finds the port closed.
     ViewBuilder builder;
     builder.entry("a1-0", "a1").isLeaving = true;
     builder.entry("a1-1", "a1").health = Health::Dead;
@@ -93,7 +93,7 @@
         CHECK(answer(builder.view(), seed) == std::vector<std::string> { "b1-0", "a1-2" });
 }
 
-TEST_CASE("Address answer: spread by load", "[membership]")
+TEST_CASE("Address answer: weighted by load", "[membership]")
 {
     auto view = twelveEntries();
     AddressAnswerOptions options;
@@ -107,7 +107,7 @@
     CHECK(first["a1-2"] > rounds / 4);
 }
 
-TEST_CASE("Address answer: an unknown client is sent beside the agents of the service", "[membership]")
+TEST_CASE("Address answer: a client in an unknown data centre gets entries near the agents of the service", "[membership]")
 {
     ViewBuilder builder;
     builder.entry("a1-0", "a1");
@@ -116,10 +116,10 @@
     CHECK(answer(builder.view(), 1, std::nullopt)[0] == "b1-0");
 }
 
-TEST_CASE("Address answer: a leaving entry accepts longer than any answer is kept", "[membership]")
+TEST_CASE("Address answer: a leaving entry accepts connections until every answer has expired", "[membership]")
 {
-    // An entry stops; a peer that has not heard so yet names it to a client, who keeps the answer to its end. The entry
-    // must still accept then.
+    // An entry stops. A peer that does not know this yet returns its address to a client, which keeps the answer until
+    // it expires. Until then, the entry must still accept connections.
     AddressAnswerOptions options;
     auto view = twelveEntries();
     constexpr milliseconds propagationDelay { 4000 };
@@ -130,7 +130,7 @@
     }
 }
 
-TEST_CASE("Rendezvous: a member that goes moves only its own choices", "[membership]")
+TEST_CASE("Rendezvous: a member that leaves changes only its own choices", "[membership]")
 {
     std::vector<NodeKey> members;
     members.reserve(50);
@@ -149,7 +149,7 @@
     CHECK(moved < 60);
 }
 
-TEST_CASE("Subset: all agents of a small service, a share of a large one, near ones first", "[membership]")
+TEST_CASE("Subset: all agents of a small service and a share of a large one, nearest first", "[membership]")
 {
     ViewBuilder builder;
     for (int i = 0; i < 3; ++i)
--- a/test/membership-fleet_test.cc
+++ b/test/membership-fleet_test.cc
@@ -44,10 +44,10 @@
 
 } // namespace
 
-TEST_CASE("A member that dies is held dead by all within seconds", "[membership]")
+TEST_CASE("All nodes declare a failed member dead within seconds", "[membership]")
 {
-    // An entry's machine loses power. Callers that are told its address would hang on it until every other entry has
-    // taken it out of its answers. Cause: nothing announces a death; only probes find it.
+    // An entry's machine loses power. Clients that receive its address would hang until every other entry has removed
+    // it from its address answers. Nothing announces such a failure; only probes detect it.
     FakeFleet fleet({});
     startReady(fleet);
     fleet.kill(3);
@@ -57,10 +57,10 @@
     CHECK(fleet.sumCounters().deathsRefuted == 0);
 }
 
-TEST_CASE("A leaving process is known everywhere at once although the list is stale", "[membership]")
+TEST_CASE("A leaving mark reaches all nodes quickly although the list is stale", "[membership]")
 {
-    // An operator stops an agent. The published list lags and goes on calling it live; entries that believe it keep
-    // sending work to a process that is on its way out. Cause: the list is the slowest of those who know.
+    // An operator stops an agent. The published list lags and still reports the agent as live, so entries that rely on
+    // the list alone keep sending work to a process that is shutting down.
     FakeFleetOptions options;
     options.agentsPerDataCentre = 30;
     FakeFleet fleet(options);
@@ -69,15 +69,15 @@
     auto leaving = positionOf(fleet, "dc1", membership::Role::Agent);
     fleet.leave(leaving);
     fleet.run(milliseconds(500));
-    // Nearly all hear by the pushes alone, the rest by the next probes.
+    // Immediate notifications reach nearly all nodes, the next probes reach the rest.
     CHECK(countLeaving(fleet, leaving) > countRunning(fleet) * 8 / 10);
     CHECK(fleet.runUntil(seconds(3), [&] { return countLeaving(fleet, leaving) == countRunning(fleet); }));
 }
 
-TEST_CASE("A member that leaves by the list does not come back when an older list is read", "[membership]")
+TEST_CASE("A member that the list marks leaving stays leaving when a stale list says live", "[membership]")
 {
-    // The list marks an instance leaving; a later revision, written from a lagging copy, says live again. Its process
-    // has meanwhile begun to shut down, and new work sent to it would be cut off. Cause: the list is not one replica.
+    // The list marks an instance as leaving. A later revision, written from a lagging replica of the list, reports it
+    // live again. Its process has begun to shut down in the meantime, so new work sent to it would be aborted.
     FakeFleet fleet({});
     startReady(fleet);
     auto& row = fleet.node(4).row;
@@ -91,10 +91,10 @@
     CHECK(countLeaving(fleet, 4) == countRunning(fleet));
 }
 
-TEST_CASE("A new process at the address of one that left is live again", "[membership]")
+TEST_CASE("A new process at the address of one that left is live", "[membership]")
 {
-    // An agent leaves and its replacement starts in the same slot. Were the leaving mark kept by address, the new
-    // process would never get work: capacity is lost for good with nothing to see in any log.
+    // An agent leaves and its replacement starts in the same slot. If the leaving mark were kept by address, the new
+    // process would never receive work: its capacity would be lost permanently, without any trace in the logs.
     FakeFleet fleet({});
     startReady(fleet);
     fleet.leave(4);
@@ -107,10 +107,10 @@
     CHECK(elapsed);
 }
 
-TEST_CASE("A one-way cut between two members gets nobody declared dead", "[membership]")
+TEST_CASE("A one-way network fault between two members causes no false deaths", "[membership]")
 {
-    // A firewall drops what one entry sends to one agent, one way. The entry's pings vanish while all others reach the
-    // agent. Were the entry to call it dead, a healthy backend server would lose all its work.
+    // A firewall drops what one entry sends to one agent, in that direction only. The entry's pings are lost while all
+    // others reach the agent. If the entry declared the agent dead, a healthy backend server would lose all its work.
     FakeFleet fleet({});
     startReady(fleet);
     fleet.drops = [&](auto& from, auto& to) { return &from == &fleet.node(0) && &to == &fleet.node(2); };
@@ -121,10 +121,11 @@
     CHECK(fleet.control(1).view()->find(fleet.node(2).row.id)->isDirectlyReachable);
 }
 
-TEST_CASE("A process that hears nobody does not get others suspected", "[membership]")
+TEST_CASE("A process that receives no messages does not make others suspect", "[membership]")
 {
-    // The inbound path of one process breaks; it still sends. None of its pings is answered, and its word that everybody
-    // is suspect reaches the fleet, which then drops healthy members. Cause: it takes its own deafness for their death.
+    // The inbound path of one process breaks, but it can still send. None of its pings is answered. If it mistook its
+    // own fault for the death of the others, its suspicions would reach the fleet, which would then drop healthy
+    // members.
     FakeFleet fleet({});
     startReady(fleet);
     auto before = fleet.sumCounters();
@@ -132,20 +133,20 @@
     fleet.run(seconds(60));
     for (std::size_t i = 0; i < fleet.size(); ++i) {
         if (i != 3)
-            CHECK(fleet.countHealth(i, Health::Dead) <= 1); // by the deaf process itself
+            CHECK(fleet.countHealth(i, Health::Dead) <= 1); // by the isolated process itself
     }
     auto after = fleet.sumCounters();
     CHECK(after.suspicionsRefuted - before.suspicionsRefuted == 0);
     CHECK(fleet.countHealth(3, Health::Dead) == fleet.size() - 1);
 }
 
-TEST_CASE("A process that stood still does not judge others when it wakes", "[membership]")
+TEST_CASE("A process that was paused does not suspect others when it resumes", "[membership]")
 {
-    // A host swaps and a process stands still for 30 s. When it wakes, its pings look unanswered and the suspicions it
-    // held look unrefuted, so it declares members dead that serve all along, and tells the others.
+    // A host swaps and a process is paused for 30 s. When it resumes, its pings seem unanswered and its suspicions seem
+    // unrefuted, so it would declare healthy members dead and gossip that.
     FakeFleet fleet({});
     startReady(fleet);
-    fleet.kill(5); // so that a suspicion is under way when it falls asleep
+    fleet.kill(5); // so that a suspicion is pending when the pause begins
     fleet.run(milliseconds(2500));
     fleet.start(5);
     fleet.pause(1, seconds(30));
@@ -160,10 +161,11 @@
         CHECK(fleet.countHealth(i, Health::Alive) == fleet.size() - 1);
 }
 
-TEST_CASE("Both sides of a partition go on, and it heals", "[membership]")
+TEST_CASE("Both sides of a partition keep working and recover when it heals", "[membership]")
 {
-    // A data centre is cut off for a minute. Each side must go on with the members it reaches, and after the cut all
-    // must be live for all again. Cause of the danger: deaths declared on both sides outlive the partition.
+    // A data centre is partitioned off for a minute. Each side must keep working with the members that it reaches, and
+    // afterwards all nodes must see all members alive again. The risk is that deaths declared on both sides outlast the
+    // partition.
     FakeFleet fleet({});
     startReady(fleet);
     auto isInside = [](const FakeNode& it) { return it.row.dataCentre.value() == "dc0"; };
@@ -185,10 +187,10 @@
     CHECK(*elapsed < seconds(10));
 }
 
-TEST_CASE("Regions that lose each other declare no member dead one by one", "[membership]")
+TEST_CASE("Regions that lose contact mark data centres, not single members, as dead", "[membership]")
 {
-    // Two regions lose each other for a while. Thousands of suspicions about the other side would fill every datagram
-    // and crowd out news of the own side. Only the data centres are marked, and come back when they answer.
+    // Two regions lose contact for a while. Thousands of suspicions about the other side would fill every datagram and
+    // displace updates about the own side. So only data centres are marked unreachable, until they respond again.
     FakeFleetOptions options;
     options.dataCentres = 4;
     options.regions = 2;
@@ -204,10 +206,10 @@
     CHECK(fleet.runUntil(seconds(60), [&] { return fleet.countHealth(last, Health::Alive) == last; }));
 }
 
-TEST_CASE("A process whose id has passed to another address steps back", "[membership]")
+TEST_CASE("A process whose id was reassigned to another address starts leaving", "[membership]")
 {
-    // An instance is taken for lost and its id given to a new one elsewhere; then the old process wakes. Were it to
-    // insist, the two would push each other out of every view for ever, and callers would reach either.
+    // An instance is considered lost and its id is assigned to a new one elsewhere. Then the old process resumes. If it
+    // kept the id, the two would replace each other in every view forever, and callers would reach either of them.
     FakeFleet fleet({});
     startReady(fleet);
     auto oldRow = fleet.node(2).row;
--- a/test/membership-reducers_test.cc
+++ b/test/membership-reducers_test.cc
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST_CASE("MemberTable: a leaving mark holds for one life and no longer", "[membership]")
+TEST_CASE("MemberTable: a leaving mark holds for one incarnation only", "[membership]")
 {
     auto table = tableOf({ rowOf("self"), rowOf("a") });
     auto& record = *table.find(keyOf(NodeId("a")));
@@ -57,10 +57,10 @@
     CHECK_FALSE(record.isLeaving());
 }
 
-TEST_CASE("MemberTable: a new life of an instance that the list calls leaving is leaving", "[membership]")
+TEST_CASE("MemberTable: a new incarnation of an instance that the list marks leaving is leaving", "[membership]")
 {
-    // A backend server is drained; its agent crashes and restarts meanwhile. The new agent process must not get work
-    // just because its incarnation is new: the instance is on its way out.
+    // A backend server is drained, and its agent crashes and restarts in the meantime. The new agent process must not
+    // receive work just because its incarnation is new: the instance is still being removed.
     auto row = rowOf("a");
     row.state = ListedState::Leaving;
     auto table = tableOf({ rowOf("self"), row });
@@ -83,10 +83,10 @@
     CHECK(record.health == Health::Alive);
 }
 
-TEST_CASE("MemberTable: a suspicion that names no life is about the present one, and can be refuted", "[membership]")
+TEST_CASE("MemberTable: a suspicion without an incarnation applies to the current one and can be refuted", "[membership]")
 {
-    // A fleet has just started and a data centre is lost. Few nodes have learned of the lost members' lives; were only
-    // those to pass suspicions on, the rest would go on sending work to dead backend servers for minutes.
+    // A data centre is lost just after the fleet has started. Few nodes know the incarnations of the lost members yet.
+    // If only those nodes gossiped suspicions, the rest would keep sending work to dead backend servers for minutes.
     auto table = tableOf({ rowOf("self"), rowOf("a") });
     auto& record = *table.find(keyOf(NodeId("a")));
     table.merge(updateOf("a", firstIncarnation, 0, Health::Alive));
@@ -98,17 +98,17 @@
     CHECK(record.health == Health::Alive);
 }
 
-TEST_CASE("MemberTable: a peer's word of a death makes a suspect", "[membership]")
+TEST_CASE("MemberTable: a death reported by a peer makes the member suspect", "[membership]")
 {
-    // A process was cut off, held everybody dead and comes back. Were its word taken, the whole fleet would drop
-    // members that serve, until each had heard of it and refuted.
+    // A process was isolated, considered all others dead and reconnects. If its reports were adopted, the whole fleet
+    // would drop healthy members until each of them had received the report and refuted it.
     auto table = tableOf({ rowOf("self"), rowOf("a") });
     table.merge(updateOf("a", firstIncarnation, 0, Health::Alive));
     table.merge(updateOf("a", firstIncarnation, 0, Health::Dead));
     CHECK(table.find(keyOf(NodeId("a")))->health == Health::Suspect);
 }
 
-TEST_CASE("MemberTable: what the list no longer names is forgotten", "[membership]")
+TEST_CASE("MemberTable: members that are no longer in the list are removed", "[membership]")
 {
     auto table = tableOf({ rowOf("self"), rowOf("a"), rowOf("b") });
     table.merge(updateOf("b", firstIncarnation, 2, Health::Alive));
@@ -118,7 +118,7 @@
     CHECK(table.merge(updateOf("a", firstIncarnation, 0, Health::Alive)) == MergeResult::Unchanged);
 }
 
-TEST_CASE("UpdateQueue: fresh news goes before what has ridden", "[membership]")
+TEST_CASE("UpdateQueue: new updates go before updates already sent", "[membership]")
 {
     UpdateQueue queue;
     queue.setFleetSize(100);
@@ -133,10 +133,10 @@
     CHECK(queue.size() == 0);
 }
 
-TEST_CASE("Detector: hearing of an earlier process as the living one raises the generation", "[membership]")
+TEST_CASE("Detector: learning that peers consider an earlier process current raises the generation", "[membership]")
 {
-    // A process is replaced and the new machine's clock runs behind. By generation alone the dead one would stay the
-    // living one for all peers, and the new one's word would count for nothing.
+    // A process is replaced, and the clock of the new machine is behind. By generation alone, peers would consider the
+    // old process current and ignore the updates of the new one.
     Detector detector(rowOf("self"), firstIncarnation, {}, {}, 1);
     DetectorEffects effects;
     auto now = TimePoint(std::chrono::hours(1));
@@ -150,10 +150,10 @@
     CHECK(incarnation.id == firstIncarnation.id);
 }
 
-TEST_CASE("Detector: what one list called leaving stays so when a later list says live", "[membership]")
+TEST_CASE("Detector: a member marked leaving by one list stays leaving when a later list says live", "[membership]")
 {
-    // A process hangs while the list marks it leaving, so it can't say so itself. Then a list written from an older copy
-    // calls it live. Callers would send new work to it just as it is being shut down.
+    // A process hangs while the list marks it as leaving, so it cannot announce this itself. Then a list written from
+    // an older copy reports it live. Callers would send new work to it while it is being shut down.
     Detector detector(rowOf("self"), firstIncarnation, {}, {}, 1);
     DetectorEffects effects;
     auto now = TimePoint(std::chrono::hours(1));
@@ -168,11 +168,11 @@
     CHECK(detector.view()->find(NodeId("a"))->isLeaving);
 }
 
-TEST_CASE("Detector: a suspicion that ran out during a pause is not a death", "[membership]")
+TEST_CASE("Detector: a suspicion that expired during a pause is not a death", "[membership]")
 {
-    // A process holds a member suspect and stands still for 30 s; meanwhile the member refutes. On waking, datagrams
-    // that lay in the socket come first and show that others are there; then the suspicion looks long unrefuted. Were it
-    // to count, callers here would lose a healthy backend server, and peers would be told.
+    // A process considers a member suspect and is paused for 30 s, while the member refutes. After the pause, datagrams
+    // that were queued in the socket are processed first and show that other nodes are reachable. The suspicion then
+    // seems expired. If it counted, callers here would lose a healthy backend server, and the death would be gossiped.
     Detector detector(rowOf("self"), firstIncarnation, {}, {}, 1);
     DetectorEffects effects;
     auto now = TimePoint(std::chrono::hours(1));
@@ -195,10 +195,10 @@
     CHECK(detector.view()->find(NodeId("c"))->health == Health::Alive);
 }
 
-TEST_CASE("Detector: a ping meant for another instance at this address is not answered", "[membership]")
+TEST_CASE("Detector: a ping for another instance at this address is not answered", "[membership]")
 {
-    // An address passes to another instance while peers still probe the old one there. An answer would keep an instance
-    // alive that is gone.
+    // An address is reassigned to another instance while peers still probe the old one there. A reply would keep the
+    // old instance alive in their views although it no longer exists.
     Detector detector(rowOf("self"), firstIncarnation, {}, {}, 1);
     DetectorEffects effects;
     Message ping;
@@ -213,7 +213,7 @@
     CHECK(std::get<SendMessage>(effects[0]).message.kind == MessageKind::Ack);
 }
 
-TEST_CASE("Gossip: a message survives its encoding, also a full one", "[membership]")
+TEST_CASE("Gossip: a message of maximum size survives encoding and decoding", "[membership]")
 {
     Message message;
     message.kind = MessageKind::PingRequest;
@@ -235,9 +235,9 @@
     CHECK(*decoded == message);
 }
 
-TEST_CASE("Gossip: no bytes crash the decoder", "[membership]")
+TEST_CASE("Gossip: malformed datagrams do not crash the decoder", "[membership]")
 {
-    // Anything can arrive at an open UDP port. A crash there takes a whole node out with one datagram.
+    // Any bytes can arrive at an open UDP port. If the decoder crashed, a single datagram would take down a node.
     Message message;
     message.updates.resize(3);
     message.announcements.resize(2);
@@ -263,7 +263,7 @@
     CHECK(accepted < rounds);
 }
 
-TEST_CASE("Instance list: read whole or refused whole", "[membership]")
+TEST_CASE("Instance list: accepted as a whole or rejected as a whole", "[membership]")
 {
     auto list = parseInstanceList(R"({"revision":7,"instances":[
         {"id":"a","role":"agent","address":"127.0.0.1:1","peer":"127.0.0.1:2","data_centre":"x","service":"s","group":"g","rank":3,"state":"leaving"},
