--- a/src/agent/daemon.h
+++ b/src/agent/daemon.h
@@ -20,20 +20,20 @@
 
 namespace swiftloft::agent {
 
-/// The agent process: the control thread (the caller of `run`) with the reducer, and one traffic thread.
+/// The agent process. The control thread (the caller of `run()`) owns the reducer; one traffic thread owns the `Service`.
 class Daemon {
 public:
     Daemon(process::ProcessConfig config, Incarnation incarnation);
 
-    /// Returns when the agent has shut down gracefully.
+    /// Runs the agent. Returns when it has shut down gracefully.
     void run();
 
 private:
     void post(std::vector<Event> events);
     void apply(const Event& event);
-    void carryOut(std::shared_ptr<const Effects> effects);
+    void execute(std::shared_ptr<const Effects> effects);
     void startFleetControl();
-    void leave();
+    void startLeaving();
     void applySettings();
     void tick();
     void addStatusPages();
@@ -41,17 +41,17 @@
 
     process::ProcessConfig m_config;
     Incarnation m_incarnation;
-    boost::asio::io_context m_control;
+    boost::asio::io_context m_controlContext;
     Reducer m_reducer;
     process::Metrics m_metrics;
-    process::StatusServer m_status;
-    EngineMonitor m_monitor;
-    MapControl m_maps;
+    process::StatusServer m_statusServer;
+    EngineMonitor m_engineMonitor;
+    MapControl m_mapControl;
     boost::asio::steady_timer m_timer;
     std::unique_ptr<process::StopSignals> m_signals;
     std::unique_ptr<daemon::FleetControl> m_fleetControl;
     std::optional<settings::Tree> m_settings;
-    /// The service that the published list says this backend server is of.
+    /// Service of this backend server according to the published list.
     ServiceName m_serviceName;
 
     rpc::EventLoop m_traffic;
--- a/src/agent/engine-monitor.h
+++ b/src/agent/engine-monitor.h
@@ -12,29 +12,30 @@
 
 namespace swiftloft::agent {
 
-/// Polls an engine's load page and reports after each probe how the engine is. Belongs to the control thread.
+/// Polls the engine's load page and reports the state of the engine after each probe. Belongs to the control thread.
 class EngineMonitor {
 public:
     EngineMonitor(boost::asio::io_context& ioContext, boost::asio::ip::tcp::endpoint engine, std::function<void(const Event&)> onEvent);
 
     void start();
 
-    /// Probes at once; the event that follows belongs to a probe that began after this call.
+    /// Starts the next probe at once instead of waiting for its time. Has no effect while a probe is in progress. Each event
+    /// carries the time at which its probe started.
     void probeNow() { m_timer.cancel(); }
 
 private:
     enum class State {
         Up,
-        /// The process answers no connection.
-        Gone,
-        /// Connections open, but no answer comes in time.
-        Silent,
+        /// Connections to the engine fail or are reset: its process has gone.
+        Unreachable,
+        /// The engine accepts connections but doesn't respond in time.
+        Unresponsive,
     };
 
     boost::asio::awaitable<void> poll();
     boost::asio::awaitable<State> probe();
-    void enter(State state, TimePoint probedAt);
-    void learnSpeed(const std::string& body);
+    void reportState(State state, TimePoint probedAt);
+    void updateSpeed(const std::string& body);
 
     boost::asio::io_context& m_ioContext;
     boost::asio::ip::tcp::endpoint m_engine;
--- a/src/agent/run.h
+++ b/src/agent/engine-run.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "src/agent/engine-client.h"
+#include "src/agent/engine-connection-pool.h"
 #include "src/agent/events.h"
 #include "src/agent/replay-buffer.h"
 #include "src/rpc/body-digest.h"
@@ -21,13 +21,13 @@
 
 namespace swiftloft::agent {
 
-/// A request as the engine is to get it.
+/// HTTP request to send to the engine.
 struct EngineRequest {
     boost::beast::http::request<boost::beast::http::string_body> message;
     bool isRepeatable { false };
 };
 
-/// How one call about a request ended.
+/// Result of one call that refers to a request.
 struct CallOutcome {
     OutcomeKind kind;
     Verdict verdict;
@@ -35,27 +35,28 @@
     policy::CrashId crash;
 };
 
-/// One request at the engine: sends it, buffers the tail of the answer and passes it on to any number of calls, each at
-/// its own offset. Belongs to the traffic thread.
-class Run : public std::enable_shared_from_this<Run> {
+/// Runs one request at the engine. Sends the request, buffers the tail of the response and forwards the response to any
+/// number of calls, each at its own offset. Belongs to the traffic thread.
+class EngineRun : public std::enable_shared_from_this<EngineRun> {
 public:
-    using OnEnded = std::function<void(RunEnd)>;
+    using OnEnded = std::function<void(RunOutcome)>;
 
-    Run(boost::asio::io_context& ioContext, EngineClient& engine, EngineRequest request, TimePoint deadline, std::size_t bufferBytes);
-    ~Run();
+    EngineRun(boost::asio::io_context& ioContext, EngineConnectionPool& engine, EngineRequest request, TimePoint deadline, std::size_t bufferBytes);
+    ~EngineRun();
 
-    /// Called once, when the request has ended at the engine or never got there.
+    /// Sets a callback that is called once, when the request has ended at the engine or can no longer be sent to it.
     void setOnEnded(OnEnded onEnded) { m_onEnded = std::move(onEnded); }
 
     void start();
 
-    /// Stops the request at the engine by closing its connection; one that has not been started never will be.
+    /// Stops the request at the engine by closing its connection. A request that has not started never will.
     void stop();
 
-    /// A broken request gets its end: it is known whether the engine crashed with it.
+    /// Ends a broken request, now that it is known whether the engine crashed. `crash` is 0 if it did not.
     void conclude(policy::CrashId crash);
 
-    /// Sends frames from body offset `offset` on to `sink` until the answer ends.
+    /// Sends frames from body offset `offset` on to `sink` until the response ends. Resolves to a refusal if the buffer no
+    /// longer holds the bytes at `offset`.
     kj::Promise<CallOutcome> attach(std::uint64_t offset, bool needsHead, rpc::schema::FrameSink::Client sink);
 
 private:
@@ -65,19 +66,19 @@
         bool needsHead;
     };
 
-    boost::asio::awaitable<RunEnd> execute();
+    boost::asio::awaitable<RunOutcome> execute();
     boost::asio::awaitable<void> readBody(boost::beast::tcp_stream& stream);
-    boost::asio::awaitable<void> waitForRoom();
-    bool hasRoom() const;
-    void finish(RunEnd end);
+    boost::asio::awaitable<void> waitForBufferSpace();
+    bool hasBufferSpace() const;
+    void finish(RunOutcome outcome);
     void wakeSubscribers();
-    kj::Promise<void> untilChanged();
+    kj::Promise<void> waitForChange();
     kj::Promise<CallOutcome> pump(std::shared_ptr<Subscriber> subscriber);
     kj::Promise<void> sendFrame(Subscriber& subscriber, std::string_view bytes, bool isLast);
     CallOutcome failureOutcome() const;
 
     boost::asio::io_context& m_ioContext;
-    EngineClient& m_engine;
+    EngineConnectionPool& m_engine;
     EngineRequest m_request;
     TimePoint m_deadline;
     std::size_t m_bufferBytes;
@@ -87,17 +88,17 @@
     bool m_isStopped { false };
     bool m_wasSent { false };
 
-    std::optional<boost::beast::http::response_header<>> m_head;
+    std::optional<boost::beast::http::response_header<>> m_responseHead;
     ReplayBuffer m_buffer;
     rpc::BodyDigest m_digest;
-    std::optional<RunEnd> m_end;
+    std::optional<RunOutcome> m_outcome;
     policy::CrashId m_crash;
 
     std::list<std::weak_ptr<Subscriber>> m_subscribers;
-    /// Offset up to which the slowest attached call, or the last one that was, has been served.
-    std::uint64_t m_served { 0 };
-    std::vector<kj::Own<kj::PromiseFulfiller<void>>> m_waiting;
-    boost::asio::steady_timer m_room;
+    /// Offset up to which the response was sent to the last call served. Limits reading while no call is attached.
+    std::uint64_t m_servedOffset { 0 };
+    std::vector<kj::Own<kj::PromiseFulfiller<void>>> m_waiters;
+    boost::asio::steady_timer m_bufferSpaceTimer;
 };
 
 } // namespace swiftloft::agent
--- a/src/agent/service.h
+++ b/src/agent/service.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "src/agent/run.h"
+#include "src/agent/engine-run.h"
 #include "src/process/outbox.h"
 #include "src/rpc/agent.capnp.h"
 
@@ -17,26 +17,27 @@
     std::size_t resumeBufferBytes { 256 * 1024 };
 };
 
-/// The traffic thread's side of an agent: takes calls from entries, asks the control thread what to do with each, and
-/// carries its answers out. Owns all requests in progress and the buffered answers of finished ones.
+/// The agent's RPC service on the traffic thread. Receives calls from entries, posts them to the control thread as events
+/// and executes the effects that the reducer decides on. Owns all requests in progress and the buffered responses of
+/// finished ones.
 class Service {
 public:
-    /// Hands events to the control thread, in order.
+    /// Posts events to the control thread, in order.
     using Post = std::function<void(std::vector<Event>)>;
 
     Service(boost::asio::io_context& ioContext, boost::asio::ip::tcp::endpoint engine, ServiceOptions options, Post post);
     ~Service();
 
-    /// The RPC interface for a `Listener`.
+    /// Returns the RPC interface for a `Listener`.
     capnp::Capability::Client bootstrap();
 
-    /// Carries out an effect of the reducer; on the traffic thread.
-    void perform(const Effect& effect);
+    /// Executes an effect of the reducer. Must be called on the traffic thread.
+    void execute(const Effect& effect);
 
-    /// Tail of each answer kept for a new connection; holds for requests that start from now on.
+    /// Sets the size of the response tail that is buffered for new connections. Applies to requests that start from now on.
     void setResumeBuffer(Bytes size) { m_options.resumeBufferBytes = size.value(); }
 
-    /// Called once when the reducer has finished and every attached call has got its answer.
+    /// Sets a callback that is called once, when the reducer has finished and every attached call has ended.
     void setOnDrained(std::function<void()> onDrained) { m_onDrained = std::move(onDrained); }
 
 private:
@@ -63,28 +64,28 @@
     void on(const StopRun& effect);
     void on(const ProbeEngine&) { }
     void on(const ConcludeRun& effect);
-    void on(const ForgetRun& effect);
+    void on(const DiscardRun& effect);
     void on(const Finish& effect);
     void on(const PublishReport& effect);
 
     CallId nextCall() { return CallId(++m_lastCall); }
-    void attach(const std::shared_ptr<Call>& call, const std::shared_ptr<Run>& run);
-    std::shared_ptr<Call> take(CallId id);
-    void reportIfDrained();
+    void attach(const std::shared_ptr<Call>& call, const std::shared_ptr<EngineRun>& run);
+    std::shared_ptr<Call> takeCall(CallId id);
+    void notifyIfDrained();
 
     boost::asio::io_context& m_ioContext;
-    EngineClient m_engine;
+    EngineConnectionPool m_engine;
     ServiceOptions m_options;
     process::Outbox<Event> m_outbox;
     std::function<void()> m_onDrained;
 
     std::uint64_t m_lastCall { 0 };
-    std::unordered_map<CallId, std::shared_ptr<Call>> m_calls;
-    std::unordered_map<CallId, kj::Own<kj::PromiseFulfiller<Verdict>>> m_cancels;
-    std::unordered_map<CallId, kj::Own<kj::PromiseFulfiller<policy::ClaimReply>>> m_claims;
-    std::unordered_map<RunId, std::shared_ptr<Run>> m_runs;
+    std::unordered_map<CallId, std::shared_ptr<Call>> m_pendingCalls;
+    std::unordered_map<CallId, kj::Own<kj::PromiseFulfiller<Verdict>>> m_pendingCancels;
+    std::unordered_map<CallId, kj::Own<kj::PromiseFulfiller<policy::ClaimReply>>> m_pendingClaims;
+    std::unordered_map<RunId, std::shared_ptr<EngineRun>> m_runs;
     PublishReport m_report;
-    std::size_t m_attached { 0 };
+    std::size_t m_attachedCalls { 0 };
     bool m_isFinished { false };
 };
 
--- a/src/expertmap/replay/trace.cc
+++ b/src/expertmap/replay/trace.cc
@@ -20,8 +20,8 @@
     return { ErrorCode::MalformedInput, fmt::format("line {}: {}", line, what) };
 }
 
-/// Reads one `key value...` line into the trace; the text of the fault, or empty.
-std::string readLine(Trace& trace, const std::string& text)
+/// Parses one `key value...` line into the trace. Returns the error text, or an empty text on success.
+std::string parseLine(Trace& trace, const std::string& text)
 {
     std::istringstream line(text);
     std::string key;
@@ -48,7 +48,7 @@
         SpeedChange change;
         line >> change.interval >> change.rank >> change.speed;
         if (line && (change.rank >= trace.shape.ranks || !(change.speed > 0)))
-            return "a speed names no rank, or is not positive";
+            return "speed line has an unknown rank or a speed that is not positive";
         trace.speedChanges.push_back(change);
     } else if (key == "load") {
         std::uint32_t interval = 0;
@@ -56,11 +56,11 @@
         line >> interval >> layer;
         bool isNext = layer < trace.shape.layers && interval == trace.loads.size() - (layer > 0 ? 1 : 0);
         if (!line || !isNext)
-            return "loads must come in order of interval and layer";
+            return "load lines must be in order of interval and layer";
         if (layer == 0)
             trace.loads.emplace_back().reserve(static_cast<std::size_t>(trace.shape.layers) * trace.shape.experts);
         if (trace.loads.back().size() != static_cast<std::size_t>(layer) * trace.shape.experts)
-            return "a layer is missing or doubled";
+            return "a layer is missing or duplicated";
         for (std::uint32_t n = 0; n < trace.shape.experts; ++n) {
             double load = -1;
             line >> load;
@@ -70,7 +70,7 @@
         }
     } else
         return fmt::format("unknown key '{}'", key);
-    return line ? "" : fmt::format("'{}' has no good value", key);
+    return line ? "" : fmt::format("missing or invalid value of '{}'", key);
 }
 
 } // namespace
@@ -85,7 +85,7 @@
     return speeds;
 }
 
-void write(std::ostream& out, const Trace& trace)
+void writeTrace(std::ostream& out, const Trace& trace)
 {
     fmt::print(out, "{}\nname {}\nranks {}\nlayers {}\nexperts {}\nslots-per-rank {}\n", magic, trace.name, trace.shape.ranks,
         trace.shape.layers, trace.shape.experts, trace.shape.slotsPerRank);
@@ -103,20 +103,20 @@
     }
 }
 
-Result<Trace> read(std::istream& in)
+Result<Trace> readTrace(std::istream& in)
 {
     Trace trace;
     std::string text;
     if (!std::getline(in, text) || text != magic)
-        return malformed(1, "not a trace");
+        return malformed(1, "not a trace: the header line is missing or unknown");
     for (std::size_t line = 2; std::getline(in, text); ++line) {
-        auto fault = readLine(trace, text);
-        if (!fault.empty())
-            return malformed(line, fault);
+        auto error = parseLine(trace, text);
+        if (!error.empty())
+            return malformed(line, error);
     }
-    auto whole = static_cast<std::size_t>(trace.shape.layers) * trace.shape.experts;
-    if (whole == 0 || trace.loads.empty() || trace.loads.back().size() != whole || !(trace.tokensPerStep > 0))
-        return malformed(0, "the trace ends early");
+    auto valuesPerInterval = static_cast<std::size_t>(trace.shape.layers) * trace.shape.experts;
+    if (valuesPerInterval == 0 || trace.loads.empty() || trace.loads.back().size() != valuesPerInterval || !(trace.tokensPerStep > 0))
+        return malformed(0, "incomplete trace: the shape, tokens per step or loads of the last interval are missing");
     return trace;
 }
 
--- a/src/expertmap/wire.cc
+++ b/src/expertmap/wire.cc
@@ -7,27 +7,28 @@
 
 namespace {
 
-/// Thrown within this file only, and turned into an error at its edge.
+/// Thrown within this file only; `catchMalformed` converts it to an `Error`.
 struct Malformed {
     std::string text;
 };
 
-void require(bool isGood, const char* text)
+void require(bool isValid, const char* text)
 {
-    if (!isGood)
+    if (!isValid)
         throw Malformed { text };
 }
 
-/// Runs `read`, which may meet bad values or bytes that Cap'n Proto refuses.
+/// Runs `read` and converts the exceptions it throws for invalid values or malformed Cap'n Proto messages to an
+/// `Error`.
 template <typename T, typename Read>
-Result<T> guarded(Read&& read)
+Result<T> catchMalformed(Read&& read)
 {
     try {
         return read();
     } catch (const Malformed& e) {
         return Error { ErrorCode::MalformedInput, e.text };
     } catch (const kj::Exception& e) {
-        return Error { ErrorCode::MalformedInput, fmt::format("a message can't be read: {}", e.getDescription().cStr()) };
+        return Error { ErrorCode::MalformedInput, fmt::format("malformed Cap'n Proto message: {}", e.getDescription().cStr()) };
     }
 }
 
@@ -39,8 +40,9 @@
 
 FencingNumber parseFence(schema::FencingNumber::Reader in)
 {
-    // A coordinator bids one above the highest number seen; one near the end of the range would leave nothing to bid.
-    require(in.getCounter() <= maxFenceCounter, "a fencing number is out of range");
+    // A coordinator takes a counter one above the highest counter seen. A counter near the end of the range would leave
+    // no higher one.
+    require(in.getCounter() <= maxFenceCounter, "fencing number out of range");
     return { in.getCounter(), Incarnation(in.getHolder()) };
 }
 
@@ -52,19 +54,19 @@
 
 SwitchPoint parsePoint(schema::SwitchPoint::Reader in)
 {
-    require(in.getStep() > 0, "a switch point names no step");
+    require(in.getStep() > 0, "switch point has step 0");
     return { MapVersion(in.getVersion()), StepNumber(in.getStep()) };
 }
 
 RankIndex parseRank(std::uint32_t rank)
 {
-    require(rank < maxRanks, "a rank is out of range");
+    require(rank < maxRanks, "rank out of range");
     return RankIndex(rank);
 }
 
 Incarnation parseIncarnation(std::uint64_t value)
 {
-    require(value != 0, "an incarnation is 0");
+    require(value != 0, "incarnation is 0");
     return Incarnation(value);
 }
 
@@ -92,10 +94,10 @@
     status.isReleased = in.getIsReleased();
     if (in.hasArmed())
         status.armed = parsePoint(in.getArmed());
-    require(status.armed || !status.isReleased, "an engine is released and not armed");
-    require(!status.armed || status.isAdmitted, "an engine is armed and not admitted");
+    require(status.armed || !status.isReleased, "engine status is released but not armed");
+    require(!status.armed || status.isAdmitted, "engine status is armed but not admitted");
     auto staged = in.getStaged();
-    require(staged.size() <= maxStagedMaps, "an engine has too many maps");
+    require(staged.size() <= maxStagedMaps, "engine status has too many staged maps");
     for (auto version : staged)
         status.staged.emplace_back(version);
     return status;
@@ -146,7 +148,7 @@
     case schema::RankOrder::Order::CANCEL:
         return Cancel { parsePoint(in.getCancel()) };
     }
-    throw Malformed { "an order of an unknown kind" };
+    throw Malformed { "order of unknown kind" };
 }
 
 } // namespace
@@ -176,17 +178,17 @@
     out.setAgent(hello.agent.value());
 }
 
-void build(schema::ExpertMap::Builder out, const VersionedMap& named)
+void build(schema::ExpertMap::Builder out, const VersionedMap& versioned)
 {
-    auto& shape = named.map.shape();
+    auto& shape = versioned.map.shape();
     out.setRanks(shape.ranks);
     out.setLayers(shape.layers);
     out.setExperts(shape.experts);
     out.setSlotsPerRank(shape.slotsPerRank);
-    out.setVersion(named.version.value());
-    auto slots = out.initSlots(static_cast<unsigned>(named.map.slots().size()));
+    out.setVersion(versioned.version.value());
+    auto slots = out.initSlots(static_cast<unsigned>(versioned.map.slots().size()));
     for (unsigned n = 0; n < slots.size(); ++n)
-        slots.set(n, static_cast<std::uint16_t>(named.map.slots()[n].value()));
+        slots.set(n, static_cast<std::uint16_t>(versioned.map.slots()[n].value()));
 }
 
 void build(schema::RankLoads::Builder out, const RankLoads& loads)
@@ -206,7 +208,7 @@
 
 Result<RankOrder> parse(schema::RankOrder::Reader in)
 {
-    return guarded<RankOrder>([&] {
+    return catchMalformed<RankOrder>([&] {
         RankOrder order;
         order.fence = parseFence(in.getFence());
         parseIncarnation(in.getFence().getHolder());
@@ -216,14 +218,14 @@
             order.engine = Incarnation(in.getEngine());
         order.order = parseOrder(in.getOrder());
         bool isRead = std::holds_alternative<ReadStatus>(order.order);
-        require(isRead || order.engine, "an order names no life of its engine");
+        require(isRead || order.engine, "order has no engine incarnation");
         return order;
     });
 }
 
 Result<RankReport> parse(schema::RankReport::Reader in)
 {
-    return guarded<RankReport>([&] {
+    return catchMalformed<RankReport>([&] {
         RankReport report;
         report.rank = parseRank(in.getRank());
         report.agent = parseIncarnation(in.getAgent());
@@ -237,7 +239,7 @@
 
 Result<RankHello> parse(schema::RankHello::Reader in)
 {
-    return guarded<RankHello>([&] { return RankHello { parseRank(in.getRank()), parseIncarnation(in.getAgent()) }; });
+    return catchMalformed<RankHello>([&] { return RankHello { parseRank(in.getRank()), parseIncarnation(in.getAgent()) }; });
 }
 
 Result<VersionedMap> parse(schema::ExpertMap::Reader in)
@@ -247,13 +249,13 @@
         MapShape shape;
         std::vector<ExpertIndex> slots;
     };
-    auto content = guarded<Content>([&] {
-        Content read { MapVersion(in.getVersion()), { in.getRanks(), in.getLayers(), in.getExperts(), in.getSlotsPerRank() }, {} };
+    auto content = catchMalformed<Content>([&] {
+        Content parsed { MapVersion(in.getVersion()), { in.getRanks(), in.getLayers(), in.getExperts(), in.getSlotsPerRank() }, {} };
         auto sent = in.getSlots();
-        read.slots.reserve(sent.size());
+        parsed.slots.reserve(sent.size());
         for (auto expert : sent)
-            read.slots.emplace_back(expert);
-        return read;
+            parsed.slots.emplace_back(expert);
+        return parsed;
     });
     if (!content)
         return content.error();
@@ -265,7 +267,7 @@
 
 Result<RankLoads> parse(schema::RankLoads::Reader in)
 {
-    return guarded<RankLoads>([&] {
+    return catchMalformed<RankLoads>([&] {
         RankLoads loads { parseRank(in.getRank()), parseIncarnation(in.getEngine()), StepNumber(in.getStep()), MapVersion(in.getMap()), {}, {}, in.getPace() };
         for (auto expert : in.getHeld())
             loads.held.emplace_back(expert);
--- a/src/membership/detector.h
+++ b/src/membership/detector.h
@@ -11,85 +11,92 @@
 
 namespace swiftloft::membership {
 
-/// Times and counts of failure detection. The defaults are those of docs/design/membership.md.
+/// Intervals, timeouts and fan-outs of failure detection. The defaults are given in docs/design/membership.md.
 struct DetectorOptions {
     milliseconds probeInterval { 500 };
-    milliseconds gossipInterval { 200 }; ///< Between datagrams that only carry news, while there is any.
-    milliseconds directTimeout { 400 }; ///< Of a ping, before others are asked to ping.
-    milliseconds indirectTimeout { 600 }; ///< Of the pings of others, before the member is suspect.
-    milliseconds suspicionTime { 3000 }; ///< That a suspect has to refute.
-    milliseconds pauseLimit { 1000 }; ///< A longer gap between two events means that this process stood still.
-    milliseconds longestRefresh { 10'000 }; ///< After a pause, before the node judges again although nobody answered.
-    std::size_t indirectProbes { 3 };
-    std::size_t leavingFanout { 8 }; ///< Peers told at once by a process that leaves.
-    std::size_t relayFanout { 3 }; ///< Peers told at once by who hears of a leaving member first.
+    milliseconds gossipInterval { 200 }; ///< Between datagrams that only carry updates, while fresh ones are queued.
+    milliseconds directTimeout { 400 }; ///< Wait for the reply to a ping before peers are asked to ping the member.
+    milliseconds indirectTimeout { 600 }; ///< Wait for the indirect pings before the member becomes suspect.
+    milliseconds suspicionTimeout { 3000 }; ///< Time within which a suspect has to refute the suspicion.
+    milliseconds pauseThreshold { 1000 }; ///< A longer gap between two events means that this process was paused.
+    /// Time after a pause for which this node waits for peers before it judges the health of members again.
+    milliseconds refreshTimeout { 10'000 };
+    std::size_t indirectProbes { 3 }; ///< Peers asked to ping a member that did not reply.
+    std::size_t leavingFanout { 8 }; ///< Peers notified immediately by a process that starts leaving.
+    std::size_t relayFanout { 3 }; ///< Peers notified immediately by a node that learns that a member is leaving.
 };
 
 struct Tick {
     TimePoint now;
 };
-struct MessageArrived {
+struct MessageReceived {
     PeerAddress from;
     Message message;
     TimePoint now;
 };
-struct ListTaken {
+struct InstanceListReceived {
     std::shared_ptr<const InstanceList> list;
     TimePoint now;
 };
 struct LeaveRequested {
     TimePoint now;
 };
-using DetectorEvent = std::variant<Tick, MessageArrived, ListTaken, LeaveRequested>;
+using DetectorEvent = std::variant<Tick, MessageReceived, InstanceListReceived, LeaveRequested>;
 
 struct SendMessage {
     PeerAddress to;
     Message message;
 };
-/// `Detector::view()` gives a new view.
+/// `Detector::view()` returns a new view.
 struct ViewChanged { };
-/// This process is leaving: it was told to, or the list or a peer says so.
+/// This process has started leaving, either on request or because the list or a peer marks it as leaving.
 struct SelfLeaving { };
 struct MemberChanged {
     NodeId id;
     Health health;
     bool isLeaving;
 };
-struct PauseNoticed {
+struct PauseDetected {
     milliseconds length;
 };
-using DetectorEffect = std::variant<SendMessage, ViewChanged, SelfLeaving, MemberChanged, PauseNoticed>;
+using DetectorEffect = std::variant<SendMessage, ViewChanged, SelfLeaving, MemberChanged, PauseDetected>;
 using DetectorEffects = std::vector<DetectorEffect>;
 
 struct DetectorCounters {
-    std::uint64_t suspicionsRaised { 0 }; ///< By this node's own probes.
-    std::uint64_t suspicionsRefuted { 0 }; ///< Of those and of what peers said: false suspicions.
+    std::uint64_t suspicionsRaised { 0 }; ///< Suspicions raised by this node's own probes.
+    std::uint64_t suspicionsRefuted { 0 }; ///< False suspicions, raised by this node or reported by peers.
     std::uint64_t deathsDeclared { 0 };
-    std::uint64_t deathsRefuted { 0 }; ///< A member held dead spoke again within the same life: false deaths.
-    std::uint64_t selfRefutations { 0 };
-    std::uint64_t pausesNoticed { 0 };
+    std::uint64_t deathsRefuted { 0 }; ///< False deaths: a dead member became alive again in the same incarnation.
+    std::uint64_t selfRefutations { 0 }; ///< Suspicions or deaths of this process that it refuted.
+    std::uint64_t pausesDetected { 0 };
 };
 
-/// Failure detection and spread of membership news: a reducer over its events.
+/// Failure detector and gossip of membership updates, implemented as a reducer over its events.
 ///
-/// As SWIM (Das, Gupta, Motivala 2002): a ping each interval to one member; no answer, pings through others; no answer,
-/// suspicion, which the member may refute by a higher sequence; no refutation, death. With these differences: death is
-/// never taken from a peer's word, only from the node's own wait for a refutation; it can be refuted too, since a paused process wakes; a leaving mark never goes within one life; members of other regions
-/// are followed by data centre; and a node that has reason to doubt itself (it stood still, or hears nobody) keeps its
-/// judgements to itself.
+/// Follows SWIM (Das, Gupta, Motivala 2002): in each interval, the node pings one member. If the member does not reply,
+/// the node asks peers to ping it. If they get no reply either, the member becomes suspect, which it can refute with a
+/// higher sequence. If it does not refute the suspicion in time, it is declared dead.
+///
+/// Differences from SWIM:
+/// - A death reported by a peer is never adopted. A node declares a death only after its own wait for a refutation.
+/// - A death can be refuted too, because a paused process may resume.
+/// - A leaving mark is never cleared within one incarnation.
+/// - Members of other regions are tracked by data centre.
+/// - A node that may itself be at fault (it was paused, or receives no messages) does not share its judgements.
 class Detector {
 public:
-    Detector(ListedInstance self, Life life, Topology topology, DetectorOptions options, std::uint64_t seed);
+    Detector(ListedInstance self, OrderedIncarnation incarnation, Topology topology, DetectorOptions options, std::uint64_t seed);
 
     void step(const DetectorEvent& event, DetectorEffects& effects);
 
-    /// Built anew only after a change.
+    /// Returns the current view. Rebuilt only after a change.
     std::shared_ptr<const View> view();
-    /// A message that says who sends it and carries queued updates.
+    /// Returns a message that describes this node as its sender and carries queued updates.
     Message makeMessage(MessageKind kind);
-    /// Random peers, about half of them in this data centre, some in the region, a few elsewhere.
-    std::vector<PeerAddress> pickPeers(std::size_t most);
-    /// Remembers a peer that the list does not name yet.
+    /// Returns up to `maxCount` random peers: about half of them in this data centre, some in the rest of the region
+    /// and a few elsewhere.
+    std::vector<PeerAddress> pickPeers(std::size_t maxCount);
+    /// Adds a peer that is not in the instance list yet.
     void addSeed(const PeerAddress& peer);
 
     const DetectorCounters& counters() const { return m_counters; }
@@ -99,8 +106,8 @@
     std::size_t memoryBytes() const;
 
 private:
-    /// Silence from everybody after which a node no longer trusts what it believes of others.
-    static constexpr milliseconds isolationTime { 3000 };
+    /// Time without a message from any member after which a node no longer trusts its judgements of other members.
+    static constexpr milliseconds isolationTimeout { 3000 };
     static constexpr int missesUntilUnreachable = 3;
 
     struct PendingProbe {
@@ -116,47 +123,47 @@
     };
 
     void on(const Tick& event);
-    void on(const MessageArrived& event);
-    void on(const ListTaken& event);
+    void on(const MessageReceived& event);
+    void on(const InstanceListReceived& event);
     void on(const LeaveRequested& event);
 
-    void noticePause(TimePoint now);
+    void detectPause(TimePoint now);
     void endRefresh(TimePoint now);
     void startProbe(TimePoint now);
     void probe(const MemberRecord& record, TimePoint now);
     void probeNeighbour(const MemberRecord& suspect, TimePoint now);
     void expireProbes(TimePoint now);
-    void askOthers(std::uint64_t nonce, PendingProbe& probe, TimePoint now);
-    void failProbe(const PendingProbe& probe, TimePoint now);
-    void suspect(MemberRecord& record, bool isLocalMark, TimePoint now);
+    void sendIndirectProbes(std::uint64_t nonce, PendingProbe& probe, TimePoint now);
+    void onProbeFailed(const PendingProbe& probe, TimePoint now);
+    void markSuspect(MemberRecord& record, bool isHealthLocal, TimePoint now);
     void expireSuspicions(TimePoint now);
-    void dropLocalMarks();
-    void gossip(TimePoint now);
-    std::optional<DataCentreName> doubtfulDataCentre() const;
-
-    void mergeSender(const MessageArrived& event);
-    void tellRevived(const MessageArrived& event);
-    void mergeUpdates(const MessageArrived& event);
-    void mergeOne(const MemberUpdate& update, TimePoint now, std::vector<MemberUpdate>& corrections);
-    void hearOfSelf(const MemberUpdate& update);
-    void noteChange(const MemberRecord& record, Health healthBefore, bool wasLeaving, TimePoint now);
-    void answerPing(const MessageArrived& event);
-    void takeAck(const MessageArrived& event);
-    void relayPing(const MessageArrived& event);
-    void answerSync(const MessageArrived& event);
-    void askSync(TimePoint now);
-
-    void becomeLeaving();
-    void queue(const MemberRecord& record);
-    void queueSelf();
-    void pushNews(std::size_t fanout);
+    void resetLocalHealth();
+    void gossipIfDue(TimePoint now);
+    std::optional<DataCentreName> suspectDataCentre() const;
+
+    void mergeSender(const MessageReceived& event);
+    void notifyRevivedMember(const MessageReceived& event);
+    void mergeUpdates(const MessageReceived& event);
+    void mergeUpdate(const MemberUpdate& update, TimePoint now, std::vector<MemberUpdate>& corrections);
+    void onSelfUpdate(const MemberUpdate& update);
+    void recordChange(const MemberRecord& record, Health healthBefore, bool wasLeaving, TimePoint now);
+    void replyToPing(const MessageReceived& event);
+    void onAck(const MessageReceived& event);
+    void relayPing(const MessageReceived& event);
+    void replyToSync(const MessageReceived& event);
+    void requestSync(TimePoint now);
+
+    void startLeaving();
+    void queueUpdate(const MemberRecord& record);
+    void queueSelfUpdate();
+    void sendGossip(std::size_t fanout);
     void send(const PeerAddress& to, Message message);
-    void sendAbout(const MemberRecord& record, MessageKind kind, std::uint64_t nonce);
+    void sendToMember(const MemberRecord& record, MessageKind kind, std::uint64_t nonce);
     bool isDataCentreReachable(const DataCentreName& dataCentre) const;
 
     ListedInstance m_self;
     NodeKey m_key;
-    Life m_life;
+    OrderedIncarnation m_incarnation;
     DetectorOptions m_options;
     Random m_random;
     MemberTable m_table;
@@ -165,26 +172,26 @@
     UpdateQueue m_queue;
     std::vector<PeerAddress> m_seeds;
     std::map<std::uint64_t, PendingProbe> m_probes; ///< By nonce.
-    std::map<std::uint64_t, Relay> m_relays; ///< By the nonce of the ping sent for another.
+    std::map<std::uint64_t, Relay> m_relays; ///< By the nonce of the ping sent on behalf of another node.
     std::vector<NodeKey> m_suspects;
-    std::map<DataCentreName, int> m_remoteMisses; ///< Failed probes in a row into each data centre of other regions.
-    DetectorEffects* m_effects { nullptr }; ///< Only during `step`.
+    std::map<DataCentreName, int> m_remoteMisses; ///< Consecutive failed probes per data centre of other regions.
+    DetectorEffects* m_effects { nullptr }; ///< Set only during `step`.
     std::shared_ptr<const View> m_view;
     DetectorCounters m_counters;
-    TimePoint m_lastEvent;
-    TimePoint m_lastHeard;
+    TimePoint m_lastEventAt;
+    TimePoint m_lastReceivedAt;
     TimePoint m_nextProbe;
-    TimePoint m_wokeAt;
+    TimePoint m_resumedAt;
     TimePoint m_nextSync;
     TimePoint m_nextGossip;
-    TimePoint m_nextRevival;
+    TimePoint m_nextRevivalNotice;
     std::uint64_t m_syncNonce { 0 };
-    std::size_t m_syncAnswers { 0 };
+    std::size_t m_syncReplies { 0 };
     std::uint32_t m_sequence { 0 };
     bool m_isLeaving { false };
     bool m_isSuperseded { false };
     bool m_isRefreshing { false };
-    bool m_hasUrgentNews { false };
+    bool m_hasUrgentUpdate { false };
     bool m_isViewDirty { true };
 };
 
--- a/src/membership/instance-list.cc
+++ b/src/membership/instance-list.cc
@@ -18,43 +18,43 @@
     return Error { ErrorCode::MalformedInput, "instance list: " + std::move(message) };
 }
 
-std::string text(const json::object& row, std::string_view key)
+std::string requiredString(const json::object& row, std::string_view key)
 {
     auto* value = row.if_contains(key);
     if (!value || !value->is_string())
-        throw Exception(malformed(fmt::format("'{}' is missing or no string", key)));
+        throw Exception(malformed(fmt::format("field '{}' is missing or is not a string", key)));
     if (value->get_string().size() > maxIdBytes)
-        throw Exception(malformed(fmt::format("'{}' is longer than {} bytes", key, maxIdBytes)));
+        throw Exception(malformed(fmt::format("field '{}' is longer than {} bytes", key, maxIdBytes)));
     return std::string(value->get_string());
 }
 
-std::string textOrEmpty(const json::object& row, std::string_view key)
+std::string optionalString(const json::object& row, std::string_view key)
 {
     auto* value = row.if_contains(key);
-    return !value || value->is_null() ? std::string() : text(row, key);
+    return !value || value->is_null() ? std::string() : requiredString(row, key);
 }
 
-Role roleOf(const json::object& row)
+Role parseRole(const json::object& row)
 {
-    auto name = text(row, "role");
+    auto name = requiredString(row, "role");
     if (name == "entry")
         return Role::Entry;
     if (name == "agent")
         return Role::Agent;
-    throw Exception(malformed(fmt::format("unknown role '{}'", name)));
+    throw Exception(malformed(fmt::format("unknown role '{}', expected 'entry' or 'agent'", name)));
 }
 
-ListedState stateOf(const json::object& row)
+ListedState parseState(const json::object& row)
 {
-    auto name = text(row, "state");
+    auto name = requiredString(row, "state");
     if (name == "live")
         return ListedState::Live;
     if (name == "leaving")
         return ListedState::Leaving;
-    throw Exception(malformed(fmt::format("unknown state '{}'", name)));
+    throw Exception(malformed(fmt::format("unknown state '{}', expected 'live' or 'leaving'", name)));
 }
 
-std::optional<RankIndex> rankOf(const json::object& row)
+std::optional<RankIndex> parseRank(const json::object& row)
 {
     auto* value = row.if_contains("rank");
     if (!value || value->is_null())
@@ -62,45 +62,45 @@
     boost::system::error_code ec;
     auto rank = value->to_number<std::uint32_t>(ec);
     if (ec)
-        throw Exception(malformed("'rank' is no number"));
+        throw Exception(malformed("field 'rank' is not a 32-bit unsigned integer"));
     return RankIndex(rank);
 }
 
-ListedInstance instanceOf(const json::value& value)
+ListedInstance parseInstance(const json::value& value)
 {
     if (!value.is_object())
-        throw Exception(malformed("an instance is no object"));
+        throw Exception(malformed("an element of 'instances' is not an object"));
     auto& row = value.get_object();
     ListedInstance instance;
-    instance.id = NodeId(text(row, "id"));
-    instance.role = roleOf(row);
-    instance.address = TrafficAddress(text(row, "address"));
-    instance.peer = PeerAddress(text(row, "peer"));
-    instance.dataCentre = DataCentreName(text(row, "data_centre"));
-    instance.service = ServiceName(textOrEmpty(row, "service"));
-    instance.group = EngineGroupName(textOrEmpty(row, "group"));
-    instance.rank = rankOf(row);
-    instance.state = stateOf(row);
+    instance.id = NodeId(requiredString(row, "id"));
+    instance.role = parseRole(row);
+    instance.address = TrafficAddress(requiredString(row, "address"));
+    instance.peer = PeerAddress(requiredString(row, "peer"));
+    instance.dataCentre = DataCentreName(requiredString(row, "data_centre"));
+    instance.service = ServiceName(optionalString(row, "service"));
+    instance.group = EngineGroupName(optionalString(row, "group"));
+    instance.rank = parseRank(row);
+    instance.state = parseState(row);
     return instance;
 }
 
-InstanceList listOf(const json::value& value)
+InstanceList parseList(const json::value& value)
 {
     if (!value.is_object())
-        throw Exception(malformed("no object"));
+        throw Exception(malformed("the document is not an object"));
     auto& root = value.get_object();
     auto* revision = root.if_contains("revision");
     auto* instances = root.if_contains("instances");
     boost::system::error_code ec;
     if (!revision || !instances || !instances->is_array())
-        throw Exception(malformed("'revision' or 'instances' is missing"));
+        throw Exception(malformed("field 'revision' is missing, or 'instances' is missing or is not an array"));
     InstanceList list;
     list.revision = Revision(revision->to_number<std::uint64_t>(ec));
     if (ec)
-        throw Exception(malformed("'revision' is no number"));
+        throw Exception(malformed("field 'revision' is not a 64-bit unsigned integer"));
     list.instances.reserve(instances->get_array().size());
     for (auto& it : instances->get_array())
-        list.instances.push_back(instanceOf(it));
+        list.instances.push_back(parseInstance(it));
     return list;
 }
 
@@ -109,13 +109,13 @@
 Result<InstanceList> parseInstanceList(std::string_view text)
 {
     boost::system::error_code ec;
-    // The parsed tree is thrown away at once; its memory is taken in few large blocks.
+    // The parsed tree is discarded after conversion, so it is allocated in a few large blocks.
     json::monotonic_resource memory;
     auto value = json::parse(text, ec, &memory);
     if (ec)
         return malformed(ec.message());
     try {
-        return listOf(value);
+        return parseList(value);
     } catch (const Exception& e) {
         return e.error();
     }
--- a/test/address-answer_test.cc
+++ b/test/address-answer_test.cc
@@ -51,12 +51,12 @@
 std::vector<std::string> answer(const View& view, std::uint64_t seed, const std::optional<DataCentreName>& client = DataCentreName("a1"), const AddressAnswerOptions& options = {})
 {
     std::vector<std::string> addresses;
-    for (auto& it : answerAddresses(view, client, ServiceName("s"), seed, now, options).addresses)
+    for (auto& it : makeAddressAnswer(view, client, ServiceName("s"), seed, now, options).addresses)
         addresses.push_back(it.value());
     return addresses;
 }
 
-View sixEntries()
+View twelveEntries()
 {
     ViewBuilder builder;
     for (auto* dc : { "a1", "a2", "b1" }) {
@@ -68,9 +68,9 @@
 
 } // namespace
 
-TEST_CASE("Address answer: near first, the last one in another data centre", "[membership]")
+TEST_CASE("Address answer: nearest entries first, the last one in another data centre", "[membership]")
 {
-    auto view = sixEntries();
+    auto view = twelveEntries();
     for (std::uint64_t seed = 0; seed < 50; ++seed) {
         auto addresses = answer(view, seed);
         REQUIRE(addresses.size() == 3);
@@ -81,9 +81,9 @@
     }
 }
 
-TEST_CASE("Address answer: never one that is leaving or dead", "[membership]")
+TEST_CASE("Address answer: no leaving or dead entries", "[membership]")
 {
-    // A client is sent to an entry that is shutting down, keeps the address for seconds, and meets a closed port.
+    // A client receives the address of an entry that is shutting down, keeps it for seconds and finds the port closed.
     ViewBuilder builder;
     builder.entry("a1-0", "a1").isLeaving = true;
     builder.entry("a1-1", "a1").health = Health::Dead;
@@ -93,9 +93,9 @@
         CHECK(answer(builder.view(), seed) == std::vector<std::string> { "b1-0", "a1-2" });
 }
 
-TEST_CASE("Address answer: spread by load", "[membership]")
+TEST_CASE("Address answer: weighted by load", "[membership]")
 {
-    auto view = sixEntries();
+    auto view = twelveEntries();
     AddressAnswerOptions options;
     options.load = [](const NodeId& id) { return id.value() == "a1-0" ? 0.9 : 0.0; };
     std::map<std::string, int> first;
@@ -107,7 +107,7 @@
     CHECK(first["a1-2"] > rounds / 4);
 }
 
-TEST_CASE("Address answer: an unknown client is sent beside the agents of the service", "[membership]")
+TEST_CASE("Address answer: a client in an unknown data centre gets entries near the agents of the service", "[membership]")
 {
     ViewBuilder builder;
     builder.entry("a1-0", "a1");
@@ -116,21 +116,21 @@
     CHECK(answer(builder.view(), 1, std::nullopt)[0] == "b1-0");
 }
 
-TEST_CASE("Address answer: a leaving entry accepts longer than any answer is kept", "[membership]")
+TEST_CASE("Address answer: a leaving entry accepts connections until every answer has expired", "[membership]")
 {
-    // An entry stops; a peer that has not heard so yet names it to a client, who keeps the answer to its end. The entry
-    // must still accept then.
+    // An entry stops. A peer that does not know this yet returns its address to a client, which keeps the answer until
+    // it expires. Until then, the entry must still accept connections.
     AddressAnswerOptions options;
-    auto view = sixEntries();
-    constexpr milliseconds hearsLate { 4000 };
+    auto view = twelveEntries();
+    constexpr milliseconds propagationDelay { 4000 };
     for (std::uint64_t seed = 0; seed < 1000; ++seed) {
-        auto given = answerAddresses(view, std::nullopt, ServiceName("s"), seed, now + hearsLate, options);
-        CHECK(given.keepUntil <= acceptUntil(now, options));
-        CHECK(given.keepUntil > now + hearsLate);
+        auto addressAnswer = makeAddressAnswer(view, std::nullopt, ServiceName("s"), seed, now + propagationDelay, options);
+        CHECK(addressAnswer.expiresAt <= acceptUntil(now, options));
+        CHECK(addressAnswer.expiresAt > now + propagationDelay);
     }
 }
 
-TEST_CASE("Rendezvous: a member that goes moves only its own choices", "[membership]")
+TEST_CASE("Rendezvous: a member that leaves changes only its own choices", "[membership]")
 {
     std::vector<NodeKey> members;
     members.reserve(50);
@@ -149,7 +149,7 @@
     CHECK(moved < 60);
 }
 
-TEST_CASE("Subset: all agents of a small service, a share of a large one, near ones first", "[membership]")
+TEST_CASE("Subset: all agents of a small service and a share of a large one, nearest first", "[membership]")
 {
     ViewBuilder builder;
     for (int i = 0; i < 3; ++i)
@@ -168,9 +168,9 @@
     }
     view.members.erase(view.members.begin());
     auto after = agentsFor(view, entry, { 16 });
-    std::vector<NodeId> gone;
-    std::set_difference(chosen.begin(), chosen.end(), after.begin(), after.end(), std::back_inserter(gone));
-    CHECK(gone.size() <= 1);
+    std::vector<NodeId> removed;
+    std::set_difference(chosen.begin(), chosen.end(), after.begin(), after.end(), std::back_inserter(removed));
+    CHECK(removed.size() <= 1);
 }
 
 } // namespace swiftloft::membership
--- a/test/expertmap-rig.h
+++ b/test/expertmap-fake-group.h
@@ -15,8 +15,9 @@
 #include <string>
 #include <vector>
 
-/// A fake rank group for the protocol tests: engines in lock-step, the agents of their slots, and a bag of messages that
-/// are delayed, doubled, reordered and lost by a seed. One turn of the rig is one step time.
+/// A fake rank group for the protocol tests: engines in lock-step, the agents of their slots, and a message queue that
+/// delays, duplicates, reorders and loses messages at random by a seed. One turn of the group takes the time of one
+/// step.
 namespace swiftloft::expertmap::rig {
 
 enum class ProcessState {
@@ -25,15 +26,15 @@
     Dead,
 };
 
-/// One agent process. A frozen one keeps its inbox and its unwritten engine orders, and carries on when it wakes,
-/// replaced or not.
-struct Process {
+/// One agent process. A frozen process keeps its inbox and its unsent engine orders, and continues when it wakes,
+/// whether it has been replaced or not.
+struct AgentProcess {
     Incarnation incarnation;
     std::uint32_t slot { 0 };
     RankAgent agent;
     std::optional<Coordinator> coordinator;
     ProcessState state { ProcessState::Running };
-    /// The engine life its connection leads to; the connection dies with that life.
+    /// The engine incarnation that the process is connected to. The connection breaks when that incarnation ends.
     Incarnation engine;
 };
 
@@ -51,15 +52,15 @@
     MessageFaults faults;
 };
 
-class Group {
+class FakeGroup {
 public:
-    explicit Group(const Settings& settings)
+    explicit FakeGroup(const Settings& settings)
         : m_settings(settings)
         , m_random(settings.seed)
     {
         m_engines.resize(settings.ranks);
         for (std::uint32_t r = 0; r < settings.ranks; ++r) {
-            m_engines[r].status.engine = fresh();
+            m_engines[r].status.engine = randomIncarnation();
             m_engines[r].checksFences = settings.checksFences;
         }
         m_slots.resize(settings.ranks);
@@ -69,7 +70,7 @@
 
     static constexpr MapVersion initial { 100 };
 
-    // Faults.
+    // Fault injection.
     void killAgent(std::uint32_t slot)
     {
         if (m_slots[slot])
@@ -78,16 +79,16 @@
     }
     void startAgent(std::uint32_t slot)
     {
-        auto incarnation = fresh();
+        auto incarnation = randomIncarnation();
         auto agent = RankAgent::create({ RankIndex(slot), incarnation, m_settings.checksFences, milliseconds(50), milliseconds(25) }).value();
-        auto process = std::make_shared<Process>(Process { incarnation, slot, agent, std::nullopt, ProcessState::Running, m_engines[slot].status.engine });
+        auto process = std::make_shared<AgentProcess>(AgentProcess { incarnation, slot, agent, std::nullopt, ProcessState::Running, m_engines[slot].status.engine });
         if (slot == 0)
             process->coordinator = Coordinator::create({ incarnation, m_settings.ranks, initial, 2, 32, 1024, milliseconds(20), milliseconds(200), milliseconds(20) }).value();
         m_slots[slot] = process;
-        m_all.push_back(process);
-        carryOut(process, process->agent.start(now()));
-        if (m_wanted && slot == 0)
-            want(*m_wanted);
+        m_processes.push_back(process);
+        execute(process, process->agent.start(now()));
+        if (m_requestedMap && slot == 0)
+            requestMap(*m_requestedMap);
     }
     void freeze(std::uint32_t slot)
     {
@@ -102,7 +103,7 @@
     }
     void wakeAll()
     {
-        for (auto& process : m_all) {
+        for (auto& process : m_processes) {
             if (process->state != ProcessState::Frozen)
                 continue;
             process->state = ProcessState::Running;
@@ -113,19 +114,19 @@
     {
         auto& engine = m_engines[r];
         engine.status = {};
-        engine.status.engine = fresh();
+        engine.status.engine = randomIncarnation();
         engine.loading.clear();
         engine.isUp = true;
         if (oldMap) {
             engine.status.staged.push_back(*oldMap);
             engine.status.current = *oldMap;
         }
-        m_hasEntered.erase(r);
-        // What a life of an engine did of an unfinished step goes with it (see "What the platform must give" in the
-        // design note); the new life enters the step again.
-        m_mapsOfStep[m_completed + 1].erase(r);
-        for (std::size_t n = 0; n < m_all.size(); ++n) {
-            auto process = m_all[n];
+        m_enteredRanks.erase(r);
+        // The work of an engine on an unfinished step is lost with its incarnation (see "What the platform must give"
+        // in the design note); the new incarnation enters the step again.
+        m_mapsByStep[m_completed + 1].erase(r);
+        for (std::size_t n = 0; n < m_processes.size(); ++n) {
+            auto process = m_processes[n];
             if (process->slot == r && process->state == ProcessState::Running)
                 reconnect(process);
         }
@@ -134,18 +135,18 @@
     void setStoreUp(bool isUp) { m_isStoreUp = isUp; }
     void setFaults(const MessageFaults& faults) { m_settings.faults = faults; }
 
-    void want(MapVersion version)
+    void requestMap(MapVersion version)
     {
-        m_wanted = version;
-        tellCoordinator(coordination::MapWanted { version });
+        m_requestedMap = version;
+        applyToCoordinator(coordination::MapChangeRequested { version });
     }
-    void withdraw()
+    void withdrawRequest()
     {
-        m_wanted.reset();
-        tellCoordinator(coordination::WishWithdrawn {});
+        m_requestedMap.reset();
+        applyToCoordinator(coordination::MapChangeWithdrawn {});
     }
 
-    /// One step time: messages, ticks, then every engine that may enters the step.
+    /// Runs one turn: delivers messages, sends ticks, and lets every engine that may do so enter the step.
     void turn()
     {
         ++m_turn;
@@ -161,7 +162,7 @@
         for (int n = 0; n < turns; ++n)
             turn();
     }
-    /// Runs until `done` or the bound; true when done.
+    /// Runs until `done` returns true or for `bound` turns; returns whether `done` holds.
     template <typename Done>
     bool runUntil(Done&& done, int bound)
     {
@@ -170,7 +171,7 @@
         return done();
     }
 
-    // What the tests look at.
+    // State observed by the tests.
     std::uint64_t completedSteps() const { return m_completed; }
     std::uint64_t heldTurns() const { return m_heldTurns; }
     const FakeEngine& engine(std::uint32_t r) const { return m_engines[r]; }
@@ -182,10 +183,10 @@
     {
         return std::all_of(m_engines.begin(), m_engines.end(), [&](auto& it) { return it.status.isAdmitted && it.status.current == version && !it.status.armed; });
     }
-    /// The first step whose ranks used more than one map; 0 if none did.
+    /// The first step that ranks entered with more than one map; 0 if there is none.
     std::uint64_t mixedStep() const
     {
-        for (auto& step : m_mapsOfStep) {
+        for (auto& step : m_mapsByStep) {
             auto isOther = [&](auto& it) { return it.second != step.second.begin()->second; };
             if (std::any_of(step.second.begin(), step.second.end(), isOther))
                 return step.first;
@@ -193,23 +194,23 @@
         return 0;
     }
     const std::vector<SwitchPoint>& finished() const { return m_finished; }
-    /// Hands an order straight to an engine, as a process outside the group's agents could.
+    /// Passes an order straight to an engine, as a process other than the group's agents could do.
     void writeToEngine(std::uint32_t r, const EngineOrder& order) { m_engines[r].apply(order, m_settings.loadTurns); }
 
 private:
     struct Message {
         std::uint64_t at { 0 };
-        /// Rank whose slot it goes to, or the process if set.
+        /// Rank to whose slot the message goes, unless `process` is set.
         std::uint32_t slot { 0 };
-        std::shared_ptr<Process> process;
-        std::variant<RankOrder, RankReport, RankHello, EngineOrder, rank::EngineAnswered> body;
+        std::shared_ptr<AgentProcess> process;
+        std::variant<RankOrder, RankReport, RankHello, EngineOrder, rank::EngineResponded> body;
         Incarnation engine;
     };
 
-    Incarnation fresh() { return Incarnation((m_random() | 1) & 0xffffffff); }
+    Incarnation randomIncarnation() { return Incarnation((m_random() | 1) & 0xffffffff); }
     TimePoint now() const { return TimePoint(milliseconds(6 * m_turn)); }
 
-    void post(const Message& message, bool isLocal)
+    void sendMessage(const Message& message, bool isLocal)
     {
         auto& faults = m_settings.faults;
         std::uniform_real_distribution<double> chance(0, 1);
@@ -223,39 +224,39 @@
         }
     }
 
-    void reconnect(const std::shared_ptr<Process>& process)
+    void reconnect(const std::shared_ptr<AgentProcess>& process)
     {
         auto engine = m_engines[process->slot].status.engine;
         if (process->engine == engine)
             return;
         process->engine = engine;
-        carryOut(process, process->agent.apply(now(), rank::EngineLost {}));
+        execute(process, process->agent.apply(now(), rank::EngineDisconnected {}));
     }
 
-    void tellCoordinator(const coordination::Event& event)
+    void applyToCoordinator(const coordination::Event& event)
     {
         if (m_slots[0] && m_slots[0]->state == ProcessState::Running)
-            carryOut(m_slots[0], m_slots[0]->coordinator->apply(now(), event));
+            execute(m_slots[0], m_slots[0]->coordinator->apply(now(), event));
     }
 
-    void carryOut(const std::shared_ptr<Process>& process, const rank::Effects& effects)
+    void execute(const std::shared_ptr<AgentProcess>& process, const rank::Effects& effects)
     {
         for (auto& effect : effects) {
-            if (auto* it = std::get_if<rank::WriteEngine>(&effect))
-                post({ 0, process->slot, process, it->order, process->engine }, true);
+            if (auto* it = std::get_if<rank::SendToEngine>(&effect))
+                sendMessage({ 0, process->slot, process, it->order, process->engine }, true);
             else if (auto* it = std::get_if<rank::SendReport>(&effect))
-                post({ 0, 0, processOf(it->to), it->report, {} }, process->slot == 0);
+                sendMessage({ 0, 0, findProcess(it->to), it->report, {} }, process->slot == 0);
             else if (auto* it = std::get_if<rank::SendHello>(&effect))
-                post({ 0, 0, nullptr, it->hello, {} }, process->slot == 0);
+                sendMessage({ 0, 0, nullptr, it->hello, {} }, process->slot == 0);
         }
     }
 
-    void carryOut(const std::shared_ptr<Process>& process, const coordination::Effects& effects)
+    void execute(const std::shared_ptr<AgentProcess>& process, const coordination::Effects& effects)
     {
         for (auto& effect : effects) {
             if (auto* it = std::get_if<coordination::SendOrder>(&effect)) {
                 ++m_ordersSent;
-                post({ 0, it->order.rank.value(), nullptr, it->order, {} }, it->order.rank.value() == 0);
+                sendMessage({ 0, it->order.rank.value(), nullptr, it->order, {} }, it->order.rank.value() == 0);
             } else if (auto* it = std::get_if<coordination::ChangeFinished>(&effect))
                 m_finished.push_back(it->point);
             else if (std::holds_alternative<coordination::SteppedDown>(effect) && process == m_slots[0])
@@ -263,9 +264,9 @@
         }
     }
 
-    std::shared_ptr<Process> processOf(Incarnation incarnation)
+    std::shared_ptr<AgentProcess> findProcess(Incarnation incarnation)
     {
-        for (auto& process : m_all) {
+        for (auto& process : m_processes) {
             if (process->incarnation == incarnation)
                 return process;
         }
@@ -280,14 +281,14 @@
         std::shuffle(batch.begin(), batch.end(), m_random);
         for (auto& message : batch)
             deliver(message);
-        // The platform restarts an agent that gave up rank 0 though the slot is still its own.
+        // The platform restarts an agent whose coordinator stepped down while the agent still runs rank 0.
         if (std::exchange(m_isRestartDue, false)) {
             killAgent(0);
             startAgent(0);
         }
     }
 
-    void keepForLater(Message& message)
+    void redeliverNextTurn(Message& message)
     {
         message.at = m_turn + 1;
         m_messages.push_back(message);
@@ -297,15 +298,15 @@
     {
         if (auto* it = std::get_if<EngineOrder>(&message.body)) {
             if (message.process->state == ProcessState::Frozen) {
-                keepForLater(message);
+                redeliverNextTurn(message);
                 return;
             }
             auto& engine = m_engines[message.slot];
-            // A connection to an earlier life of the engine is broken.
+            // A connection to an earlier incarnation of the engine is broken.
             if (!engine.isUp || engine.status.engine != message.engine)
                 return;
             engine.apply(*it, m_settings.loadTurns);
-            post({ 0, message.slot, message.process, rank::EngineAnswered { it->id, engine.status, engine.highest }, {} }, true);
+            sendMessage({ 0, message.slot, message.process, rank::EngineResponded { it->id, engine.status, engine.highest }, {} }, true);
             return;
         }
         auto process = message.process ? message.process : m_slots[message.slot];
@@ -313,30 +314,30 @@
             return;
         if (process->state == ProcessState::Frozen) {
             message.process = process;
-            keepForLater(message);
+            redeliverNextTurn(message);
             return;
         }
         if (auto* it = std::get_if<RankOrder>(&message.body))
-            carryOut(process, process->agent.apply(now(), rank::OrderArrived { *it }));
-        else if (auto* it = std::get_if<rank::EngineAnswered>(&message.body))
-            carryOut(process, process->agent.apply(now(), *it));
+            execute(process, process->agent.apply(now(), rank::OrderReceived { *it }));
+        else if (auto* it = std::get_if<rank::EngineResponded>(&message.body))
+            execute(process, process->agent.apply(now(), *it));
         else if (!process->coordinator)
             return;
         else if (auto* it = std::get_if<RankReport>(&message.body))
-            carryOut(process, process->coordinator->apply(now(), coordination::ReportArrived { *it }));
+            execute(process, process->coordinator->apply(now(), coordination::ReportReceived { *it }));
         else if (auto* it = std::get_if<RankHello>(&message.body))
-            carryOut(process, process->coordinator->apply(now(), coordination::HelloArrived { *it }));
+            execute(process, process->coordinator->apply(now(), coordination::HelloReceived { *it }));
     }
 
     void tick()
     {
-        for (std::size_t n = 0; n < m_all.size(); ++n) {
-            auto process = m_all[n];
+        for (std::size_t n = 0; n < m_processes.size(); ++n) {
+            auto process = m_processes[n];
             if (process->state != ProcessState::Running)
                 continue;
-            carryOut(process, process->agent.apply(now(), rank::Ticked {}));
+            execute(process, process->agent.apply(now(), rank::Ticked {}));
             if (process->coordinator)
-                carryOut(process, process->coordinator->apply(now(), coordination::Ticked {}));
+                execute(process, process->coordinator->apply(now(), coordination::Ticked {}));
         }
     }
 
@@ -344,31 +345,31 @@
     {
         StepNumber next(m_completed + 1);
         for (std::uint32_t r = 0; r < m_engines.size(); ++r) {
-            if (m_hasEntered.contains(r) || !m_engines[r].enter(next))
+            if (m_enteredRanks.contains(r) || !m_engines[r].enter(next))
                 continue;
-            m_hasEntered.insert(r);
-            m_mapsOfStep[next.value()][r] = m_engines[r].status.current;
+            m_enteredRanks.insert(r);
+            m_mapsByStep[next.value()][r] = m_engines[r].status.current;
         }
-        if (m_hasEntered.size() < m_engines.size()) {
+        if (m_enteredRanks.size() < m_engines.size()) {
             ++m_heldTurns;
             return;
         }
-        m_hasEntered.clear();
+        m_enteredRanks.clear();
         ++m_completed;
     }
 
     Settings m_settings;
     std::mt19937_64 m_random;
     std::vector<FakeEngine> m_engines;
-    std::vector<std::shared_ptr<Process>> m_slots;
-    /// Every process there ever was, also killed, frozen and replaced ones.
-    std::vector<std::shared_ptr<Process>> m_all;
+    std::vector<std::shared_ptr<AgentProcess>> m_slots;
+    /// All processes ever started, including killed, frozen and replaced ones.
+    std::vector<std::shared_ptr<AgentProcess>> m_processes;
     std::vector<Message> m_messages;
-    /// For each step, the map each rank entered it with.
-    std::map<std::uint64_t, std::map<std::uint32_t, MapVersion>> m_mapsOfStep;
-    std::set<std::uint32_t> m_hasEntered;
+    /// For each step, the map with which each rank entered it.
+    std::map<std::uint64_t, std::map<std::uint32_t, MapVersion>> m_mapsByStep;
+    std::set<std::uint32_t> m_enteredRanks;
     std::vector<SwitchPoint> m_finished;
-    std::optional<MapVersion> m_wanted;
+    std::optional<MapVersion> m_requestedMap;
     std::uint64_t m_turn { 0 };
     std::uint64_t m_completed { 0 };
     std::uint64_t m_heldTurns { 0 };
--- a/test/pass-time_test.cc
+++ b/test/pass-time-estimator_test.cc
@@ -1,4 +1,4 @@
-#include "src/agent/pass-time.h"
+#include "src/agent/pass-time-estimator.h"
 
 #include <catch2/catch.hpp>
 
@@ -11,9 +11,9 @@
 
 } // namespace
 
-TEST_CASE("PassTime: the shortest of late, so that waiting for work does not count")
+TEST_CASE("PassTimeEstimator: returns the shortest recent pass time, so that waiting for work does not count")
 {
-    PassTime passes;
+    PassTimeEstimator passes;
     CHECK_FALSE(passes.shortest().has_value());
     auto now = start;
     std::uint64_t step = 0;
@@ -25,22 +25,22 @@
     };
     run(milliseconds(50), 10);
     CHECK(passes.shortest() == milliseconds(50));
-    // No work for a second, then passes as before.
+    // The group has no work for a second, then runs passes as before.
     now += seconds(1);
     run(milliseconds(50), 10);
     CHECK(passes.shortest() == milliseconds(50));
     run(milliseconds(100), 30);
     CHECK(passes.shortest() == milliseconds(100));
-    // The engine starts again and counts anew.
+    // The engine restarts and counts its steps from zero.
     step = 0;
     run(milliseconds(100), 3);
     CHECK(passes.shortest() == milliseconds(100));
 }
 
-TEST_CASE("PassTime: the part of a pass that depends on its load")
+TEST_CASE("PassTimeEstimator: share of a pass that depends on its load")
 {
-    CHECK(loadShareOf(std::nullopt, milliseconds(35)) == 1);
-    CHECK(loadShareOf(milliseconds(70), milliseconds(35)) == Approx(0.5));
-    CHECK(loadShareOf(milliseconds(30), milliseconds(35)) == 0);
-    CHECK(loadShareOf(milliseconds(30), milliseconds(0)) == 1);
+    CHECK(loadDependentShare(std::nullopt, milliseconds(35)) == 1);
+    CHECK(loadDependentShare(milliseconds(70), milliseconds(35)) == Approx(0.5));
+    CHECK(loadDependentShare(milliseconds(30), milliseconds(35)) == 0);
+    CHECK(loadDependentShare(milliseconds(30), milliseconds(0)) == 1);
 }
