--- a/src/agent/map-control.cc
+++ b/src/agent/map-control.cc
@@ -81,7 +81,7 @@
     auto shape = shapeOf(settings);
     auto initial = ExpertMap::contiguous(shape);
     if (!initial || listed.rank->value() >= shape.ranks) {
-        m_problem = !initial ? initial.error().message : fmt::format("rank {} in the published list is out of range: the settings give the group {} ranks", listed.rank->value(), shape.ranks);
+        m_problem = !initial ? initial.error().message : fmt::format("rank {} of the list is not below the {} ranks of the settings", listed.rank->value(), shape.ranks);
         return;
     }
     GroupMember::Options options;
--- a/src/entry/daemon.cc
+++ b/src/entry/daemon.cc
@@ -270,7 +270,7 @@
     ServiceName name(queryValue(target, "service"));
     auto service = m_reducer.service(name);
     if (!service)
-        return jsonResponse({ { "message", "no such service in the settings; name one with ?service=NAME" } }, 404);
+        return jsonResponse({ { "message", "no such service in the settings; ask with ?service=NAME" } }, 404);
     auto now = Clock::now();
     membership::AddressAnswerOptions options;
     options.meanLifetime = std::chrono::duration_cast<milliseconds>(service->entriesKeepTime);
@@ -296,7 +296,7 @@
 {
     ServiceName name(queryValue(target, "service"));
     if (!m_reducer.service(name))
-        return jsonResponse({ { "message", "no such service in the settings; name one with ?service=NAME" } }, 404);
+        return jsonResponse({ { "message", "no such service in the settings; ask with ?service=NAME" } }, 404);
     auto router = m_reducer.serverRegistry().router(name);
     auto rows = router ? router->explain({}, Clock::now()) : std::vector<policy::RouteExplanation>();
     return { 200, "application/json", toJson(RoutePage { InstanceId(m_config.id), m_config.dataCentre, name, rows }) };
--- a/src/entry/reducer-claims.cc
+++ b/src/entry/reducer-claims.cc
@@ -46,7 +46,7 @@
             Refusal refusal;
             refusal.reason = RefusalReason::HomeUnreachable;
             refusal.retryAfter = claimRetryAfter;
-            refusal.details = std::string("the key can't be claimed at its homes: ") + std::string(policy::toString(effect.refusal));
+            refusal.details = std::string("the key can't be claimed: ") + std::string(policy::toString(effect.refusal));
             failRequest(id, request, std::move(refusal), now, effects);
             return;
         }
--- a/src/expertmap/expert-map.cc
+++ b/src/expertmap/expert-map.cc
@@ -74,7 +74,7 @@
 Result<ExpertMap> ExpertMap::contiguous(const MapShape& shape)
 {
     if (!isValidShape(shape) || shape.experts > shape.slotsPerLayer())
-        return invalid("the experts don't fit into the slots of a layer");
+        return invalid("the experts don't fit into the slots");
     std::vector<ExpertIndex> layer(shape.slotsPerLayer(), noExpert);
     auto rankHolds = [&](std::uint32_t rank, ExpertIndex expert) {
         auto begin = layer.begin() + rank * shape.slotsPerRank;
@@ -105,7 +105,7 @@
 Result<ExpertMap> ExpertMap::roundRobin(const MapShape& shape)
 {
     if (!isValidShape(shape) || shape.experts > shape.slotsPerLayer())
-        return invalid("the experts don't fit into the slots of a layer");
+        return invalid("the experts don't fit into the slots");
     std::vector<ExpertIndex> slots(static_cast<std::size_t>(shape.layers) * shape.slotsPerLayer(), noExpert);
     for (std::uint32_t layer = 0; layer < shape.layers; ++layer) {
         for (std::uint32_t expert = 0; expert < shape.experts; ++expert) {
--- a/src/expertmap/load-estimate.cc
+++ b/src/expertmap/load-estimate.cc
@@ -62,7 +62,7 @@
 Result<LoadEstimate> LoadEstimate::create(const MapShape& shape, const Options& options)
 {
     if (options.fastHalfLife <= milliseconds(0) || options.slowHalfLife < options.fastHalfLife)
-        return Error { ErrorCode::InvalidArgument, "the half-lives of a load estimate must be positive, and the fast one must not be longer than the slow one" };
+        return Error { ErrorCode::InvalidArgument, "the half-lives must be positive and the fast one not longer than the slow one" };
     return LoadEstimate(shape, options);
 }
 
--- a/src/expertmap/planner.cc
+++ b/src/expertmap/planner.cc
@@ -41,13 +41,13 @@
 Result<Planner> Planner::create(const Options& options, const ExpertMap& current)
 {
     if (!(options.skewWeight >= 0) || !(options.rebalanceWeight >= 0))
-        return invalid("planner weights must not be negative");
+        return invalid("the weights of a planner must not be negative");
     for (auto& it : options.quietHours) {
         if (it.fromMinute >= minutesPerDay || it.toMinute > minutesPerDay)
-            return invalid("quiet hours must lie within one day");
+            return invalid("quiet hours must lie within a day");
     }
     if (!(options.horizonSteps > 0) || !(options.minGain >= 0) || options.bytesPerExpert == Bytes(0))
-        return invalid("planner horizon and expert size must be positive, and the minimum gain must not be negative");
+        return invalid("the horizon and the size of an expert must be positive");
     auto estimate = LoadEstimate::create(current.shape(), options.estimate);
     if (!estimate)
         return estimate.error();
