--- a/include/swiftloft/ids.h
+++ b/include/swiftloft/ids.h
@@ -20,8 +20,8 @@
 /// A backend server (an engine or a plain server with its agent), as the published instance list names it.
 using BackendServerId = Strong<struct BackendServerIdTag, std::string>;
 
-/// One life of a process: drawn at random when it starts, never reused. Two processes that follow each other at the
-/// same address have different incarnations.
+/// One run of a process from start to exit. Drawn at random at the start and never reused, so two processes that follow
+/// each other at the same address have different incarnations.
 using Incarnation = Strong<struct IncarnationTag, std::uint64_t>;
 /// Names a request through all its attempts and resends; at most 256 bytes.
 using RequestKey = Strong<struct RequestKeyTag, std::string>;
--- a/include/swiftloft/membership/message.h
+++ b/include/swiftloft/membership/message.h
@@ -71,7 +71,7 @@
     std::uint32_t sequence { 0 };
     bool isLeaving { false };
     /// True if the sender has checked its settings against peers. A joining node counts only announcements of ready
-    /// senders as answers.
+    /// senders as replies.
     bool isReady { false };
     std::uint64_t nonce { 0 };
     NodeKey target;
--- a/include/swiftloft/policy/claim-protocol.h
+++ b/include/swiftloft/policy/claim-protocol.h
@@ -16,7 +16,7 @@
     /// Send the request to the agent, with the claim and the incarnation that granted it.
     SendRun,
     /// The key is running or has run at this agent: fetch the response there. If the agent does not know the key,
-    /// answer the client with may-have-run.
+    /// respond to the client with may-have-run.
     Attach,
     Refuse,
 };
--- a/include/swiftloft/policy/dedup-table.h
+++ b/include/swiftloft/policy/dedup-table.h
@@ -97,7 +97,7 @@
 
     DedupTable(DedupTableOptions options, BackendServerId self, Incarnation incarnation, TimePoint now);
     bool isForThisIncarnation(const Ticket& ticket) const;
-    /// Returns why a ticket that is not in the table must be rejected, or nothing when it is acceptable and there is
+    /// Returns why a ticket that is not in the table must be refused, or nothing when it is acceptable and there is
     /// room.
     std::optional<StartAnswer> admit(const Ticket& ticket);
     bool makeRoom();
--- a/include/swiftloft/policy/organisation-limits.h
+++ b/include/swiftloft/policy/organisation-limits.h
@@ -85,7 +85,7 @@
     milliseconds lease { 5000 };
     /// Maximum difference in speed of two clocks over one lease, as a fraction.
     double clockDrift { 0.05 };
-    /// Fractions of its burst that a lender keeps for its own callers: while it has callers, and while it is idle.
+    /// Fractions of its burst that a lender keeps for its own clients: while it has clients, and while it is idle.
     double lenderReserve { 0.5 };
     double idleLenderReserve { 0.1 };
     /// Number of peers contacted per round, and the minimum interval between two rounds.
--- a/src/agent/engine-monitor.cc
+++ b/src/agent/engine-monitor.cc
@@ -21,7 +21,7 @@
 
 constexpr milliseconds pollInterval { 200 };
 constexpr milliseconds responseTimeout { 1500 };
-/// Weight of the newest sample in the moving average of the engine's speed.
+/// Weight of the newest sample in the moving average of the engine's throughput.
 constexpr double speedSampleWeight = 0.2;
 
 double numberAt(const boost::json::object& object, const char* name)
@@ -70,7 +70,7 @@
 }
 
 // Engines report their current output, which is low while few requests run. The time that a backlog takes depends on the
-// speed of a full batch: the tokens per second of one request times the batch size. A body that is not a JSON object is
+// throughput of a full batch: the tokens per second of one request times the batch size. A body that is not a JSON object is
 // ignored: a server without a load page may respond with anything.
 void EngineMonitor::updateSpeed(const std::string& body)
 {
--- a/src/agent/events.h
+++ b/src/agent/events.h
@@ -82,7 +82,7 @@
     TimePoint now;
 };
 
-/// The engine responds. `tokensPerSecond` is the speed that it reports, or 0 if it reports none. The probe started at
+/// The engine responds. `tokensPerSecond` is the throughput that it reports, or 0 if it reports none. The probe started at
 /// `probedAt`.
 struct EngineUp {
     double tokensPerSecond { 0 };
--- a/src/expertmap/replica-layer.h
+++ b/src/expertmap/replica-layer.h
@@ -7,7 +7,7 @@
 #include <span>
 #include <vector>
 
-/// Models one layer of a map whose engines split tokens evenly among replicas, and searches for the copy that
+/// Models one layer of a map whose engines split tokens evenly among replicas, and searches for the change that
 /// improves it most.
 namespace swiftloft::expertmap::internal {
 
--- a/src/gateway/control-message.h
+++ b/src/gateway/control-message.h
@@ -39,7 +39,7 @@
     Endpoint clients;
     DataCentreName dataCentre;
     EntryState state { EntryState::Starting };
-    /// The entry watches the platform's store, and the store answers it.
+    /// The entry watches the platform's store, and the store responds to it.
     bool isWatching { false };
 };
 
--- a/src/gateway/control-state-servers.cc
+++ b/src/gateway/control-state-servers.cc
@@ -36,7 +36,7 @@
     BackendServerId id(item.name);
     if (item.isRemoved) {
         m_loggedRejections.erase(item.name);
-        // A server whose entry may only have expired stays in use for a while, and so does its document.
+        // A server whose list entry may only have expired stays in use for a while, and so does its document.
         if (auto incarnation = m_servers.remove(now, item.position(), id)) {
             markLeavingChanged(m_departures.onRemoved(now, hashOf(*incarnation), item.position()));
             m_serverItems.erase(item.name);
@@ -119,7 +119,7 @@
     log::write(log::Event::ListChangeLeftOut, "server=\"{}\" era={} revision={} known-era={} known={}", printable(item.name), item.era.value(), item.revision, known.era.value(), known.revision);
 }
 
-/// Returns nothing for an entry that can't be decoded. Logs the reason when the entry names no usable server.
+/// Returns nothing for a list entry that can't be decoded. Logs the reason when it names no usable server.
 std::optional<BackendServer> ControlState::decodeServer(const PublishedItem& item)
 {
     if (!item.problem.empty()) {
@@ -132,7 +132,7 @@
         return std::nullopt;
     }
     if (!isServiceKnown(*server))
-        logRejectedEntry(item, "the entry names a service that the configuration does not define");
+        logRejectedEntry(item, "the list entry names a service that the configuration does not define");
     return *server;
 }
 
@@ -185,7 +185,7 @@
 }
 
 /// Failure: many servers lose power at once and are back within a second, under new ids at their old addresses, while
-/// their old entries stay listed until their heartbeats are missed. Requests sent to the old ids are rejected one after
+/// their old list entries stay until their heartbeats are missed. Requests sent to the old ids are rejected one after
 /// the other until their attempts are exhausted. An address therefore belongs to the server that was listed there last.
 std::vector<BackendServer> ControlState::usableServers() const
 {
--- a/src/gateway/control-state.cc
+++ b/src/gateway/control-state.cc
@@ -264,7 +264,7 @@
 {
     // Failure: an entry that has just started receives an old configuration from a peer that is itself disconnected
     // from the store, and serves by it what has been revoked since. The store takes precedence; peers are relied on
-    // only when it doesn't answer.
+    // only when it doesn't respond.
     bool mayTrustPeers = m_hasStoreAnswered || now >= m_startupStoreDeadline;
     bool isReady = m_configuration && m_hasServers && mayTrustPeers && !m_isLeaving;
     if (isReady != m_isReady) {
--- a/src/gateway/control-state.h
+++ b/src/gateway/control-state.h
@@ -17,12 +17,12 @@
 
 namespace control {
 
-/// The store answered a list call.
+/// The store responded to a list call.
 struct StoreListed {
     Topic topic { Topic::Configuration };
     PublishedItems items;
 };
-/// The store answered a watch call. The answer may hold no changes.
+/// The store responded to a watch call. The response may hold no changes.
 struct StoreChanged {
     Topic topic { Topic::Configuration };
     PublishedItems items;
@@ -37,7 +37,7 @@
 struct RankStatusReceived {
     RankStatus status;
 };
-/// Another entry answered a pull.
+/// Another entry responded to a pull.
 struct PullAnswered {
     Topic topic { Topic::Configuration };
     PublishedItems items;
@@ -95,11 +95,11 @@
     /// within it that an entry is stopping.
     static constexpr milliseconds helloInterval { 400 };
     static constexpr milliseconds minWatchTime { 3000 };
-    /// Maximum delay until the peers are sent whether the store answers this entry. The delay lets the two topics,
+    /// Maximum delay until the peers are sent whether the store responds to this entry. The delay lets the two topics,
     /// which change together, share one hello.
     static constexpr milliseconds watchChangeHelloDelay { 50 };
-    /// A starting entry relies on its peers when the store has not answered for this long. A healthy store answers in
-    /// milliseconds, and a store that is down must not keep the fleet from starting.
+    /// A starting entry relies on its peers when the store has not responded for this long. A healthy store responds
+    /// in milliseconds, and a store that is down must not keep the fleet from starting.
     static constexpr milliseconds startupStoreTimeout { 1500 };
     /// Interval at which briefs are sent to agents, so that they know which entries to send their rank status to.
     static constexpr milliseconds briefInterval { 1000 };
@@ -108,7 +108,7 @@
     static constexpr milliseconds newEpochBriefDelay { 40 };
     /// Minimum time from the start of an entry to its first brief. By then the entry has received hellos from the
     /// others. Without this delay all entries of a large fleet would consider themselves relays of their data centre,
-    /// and every agent would answer all of them.
+    /// and every agent would send its rank status to all of them.
     static constexpr milliseconds startupBriefDelay { 150 };
     /// Minimum interval between announcements of closed or slow ranks. The ranks of a group close and open within about
     /// 50 ms.
--- a/src/gateway/departures.h
+++ b/src/gateway/departures.h
@@ -29,9 +29,9 @@
     /// Maximum number of reports in one message; the latest reports are kept.
     static constexpr std::size_t maxReports { 400 };
 
-    /// A server's entry in the list.
+    /// A server's list entry.
     struct Listed {
-        /// Position of the write that the entry comes from.
+        /// Position of the write that the list entry comes from.
         StorePosition at;
         bool isReady { false };
     };
@@ -48,7 +48,7 @@
     bool onPeerReport(TimePoint now, const LeavingServer& report);
 
     void onStoreRestored(TimePoint now) { m_copyExpiredAt = now + restoredCopyExpiry; }
-    /// The store is unreachable, so the entries of its copy expire later.
+    /// The store is unreachable, so the list entries of its copy expire later.
     void onStoreUnreachable(TimePoint now);
 
     bool isLeaving(TimePoint now, ServerHash server) const;
--- a/src/gateway/entry-registry.h
+++ b/src/gateway/entry-registry.h
@@ -53,7 +53,7 @@
     void setState(EntryState state) { m_self.state = state; }
     void setWatching(bool isWatching) { m_self.isWatching = isWatching; }
     /// True when this entry must watch the platform's store: it is one of the first `watchersPerDataCentre` of its data
-    /// centre by address, or fewer than `minWatchers` others report that the store answers them.
+    /// centre by address, or fewer than `minWatchers` others report that the store responds to them.
     ///
     /// Views differ, and nothing depends on their agreement: too many watchers cost calls, and too few make all other
     /// entries watch.
--- a/src/gateway/pull-schedule.h
+++ b/src/gateway/pull-schedule.h
@@ -11,7 +11,7 @@
 /// Decides when an entry fetches a newer document from another entry. Pure: the time comes with each call.
 class PullSchedule {
 public:
-    /// A pull that has neither been answered nor failed is repeated after this long.
+    /// A pull that has neither received a response nor failed is repeated after this long.
     static constexpr milliseconds pullTimeout { 1000 };
     /// Delay before a document announced by a remote data centre is fetched from there. Usually a local entry offers
     /// the same document by then, and traffic between data centres is expensive.
--- a/src/gateway/server-registry.cc
+++ b/src/gateway/server-registry.cc
@@ -7,8 +7,8 @@
 
 std::optional<TimePoint> ServerRegistry::graceUntil(TimePoint now) const
 {
-    // Failure: the store was down, the heartbeats of running servers had no receiver, and their entries expired. If all
-    // of them were dropped, a service would have no servers while each of them answers.
+    // Failure: the store was down, the heartbeats of running servers had no receiver, and their list entries expired.
+    // If all of them were dropped, a service would have no servers while each of them responds.
     if (m_isStoreUnreachable)
         return TimePoint::max();
     if (m_graceUntil && now < *m_graceUntil)
--- a/src/gateway/server-registry.h
+++ b/src/gateway/server-registry.h
@@ -14,7 +14,7 @@
 /// Pure: the time comes with each call.
 class ServerRegistry {
 public:
-    /// Servers whose entries expired during an outage of the store re-enter the list within about two seconds of its
+    /// Servers whose list entries expired during an outage of the store re-enter the list within about two seconds of its
     /// end. They stay usable for less than that, so that a server that has really ended gets no requests later than a
     /// leaving one may.
     static constexpr milliseconds expiryGracePeriod { 1800 };
@@ -28,12 +28,12 @@
     /// Replaces the list by that of another entry, which has determined from its own view of the store which servers
     /// expired and which are gone.
     bool replaceAllFromPeer(StorePosition position, const std::vector<BackendServer>& servers);
-    /// Applies the write of one entry, as of `position`.
+    /// Applies the write of one list entry, as of `position`.
     bool upsert(StorePosition position, const BackendServer& server);
-    /// Applies the removal of one entry, as of `position`. Returns the incarnation that is gone, or nothing when its
-    /// entry may only have expired.
+    /// Applies the removal of one list entry, as of `position`. Returns the incarnation that is gone, or nothing when
+    /// its list entry may only have expired.
     std::optional<ServerIncarnation> remove(TimePoint now, StorePosition position, const BackendServerId& id);
-    /// Applies the write of one entry that names no usable server, as of `position`. Returns true when it named one
+    /// Applies the write of one list entry that names no usable server, as of `position`. Returns true when it named one
     /// before.
     bool dropUnreadable(StorePosition position, const BackendServerId& id);
     void advanceTo(StorePosition position);
--- a/src/gateway/store-cursor.h
+++ b/src/gateway/store-cursor.h
@@ -12,12 +12,12 @@
 /// below that revision.
 class StoreCursor {
 public:
-    /// How to handle an answer of the store.
+    /// How to handle a response of the store.
     enum class Action {
         Apply,
-        /// The store was restored from an older copy: ignore the answer and list the topic.
+        /// The store was restored from an older copy: ignore the response and list the topic.
         Relist,
-        /// The answer is from before a known restore of the store, for example from a connection to the earlier store:
+        /// The response is from before a known restore of the store, for example from a connection to the earlier store:
         /// ignore it.
         RejectStale,
     };
--- a/src/gateway/store-follower.h
+++ b/src/gateway/store-follower.h
@@ -20,7 +20,7 @@
     /// How long one watch waits. A connection can go silent for good, which shows only when a watch outlasts this time,
     /// and a configuration must be in force within two seconds of its publication.
     static constexpr milliseconds watchTimeout { 1500 };
-    /// Additional time that a call may take. A healthy store answers in 4 ms, a slow one took up to 250 ms.
+    /// Additional time that a call may take. A healthy store responds in 4 ms, a slow one took up to 250 ms.
     static constexpr milliseconds answerTimeout { 900 };
     /// Changes come in bursts, for example when a group of servers starts. Those within this time are fetched together,
     /// as calls are expensive and a change has seconds to take effect.
@@ -41,7 +41,7 @@
 private:
     boost::asio::awaitable<void> follow(TimePoint notBefore);
     boost::asio::awaitable<void> poll();
-    /// Returns false when the items must be ignored according to `answer`. Throws `Stale` on an answer from before a
+    /// Returns false when the items must be ignored according to `answer`. Throws `Stale` on a response from before a
     /// restore of the store.
     bool shouldApply(StoreCursor::Action answer, StoreEra previousEra);
     boost::asio::awaitable<void> backOff();
--- a/src/policy/lending-bucket.h
+++ b/src/policy/lending-bucket.h
@@ -92,7 +92,7 @@
     const std::vector<Lease>& borrowed() const { return m_borrowed; }
 
     /// Amount that may be lent. Borrowed amounts are excluded, since their leases belong to other entries. A bucket
-    /// whose own callers have used nothing for the duration of a whole burst keeps a smaller reserve.
+    /// whose own clients have used nothing for the duration of a whole burst keeps a smaller reserve.
     double lendable(double reserve, double idleReserve, TimePoint now) const
     {
         if (!m_rate)
--- a/test/agent-reducer_test.cc
+++ b/test/agent-reducer_test.cc
@@ -94,7 +94,7 @@
 }
 
 // Guards against running a request that was reported as "not run". An entry cancels a request before it has reached the
-// agent and reports "not run" to its caller. The late copy arrives after the cancel and must not run.
+// agent and reports "not run" to its client. The late copy arrives after the cancel and must not run.
 TEST_CASE("Agent: a late copy of a request that was cancelled as not run never starts")
 {
     Agent agent;
--- a/test/control-state_test.cc
+++ b/test/control-state_test.cc
@@ -110,7 +110,7 @@
     CHECK(rig.state.snapshot(rig.now).isReady);
 }
 
-// The store's answer to an earlier read arrives after a newer configuration came from a peer. If it were applied, it
+// The store's response to an earlier read arrives after a newer configuration came from a peer. If it were applied, it
 // would bring back removed routes and keys.
 TEST_CASE("ControlState: no older configuration replaces a newer one, whatever its source")
 {
@@ -159,7 +159,7 @@
     rig.apply(PullFailed { Topic::Configuration });
     rig.apply(HelloReceived { rig.hello(8, 0) });
     CHECK(rig.count<Pull>() == 1);
-    // A pull that is never answered does not block the next one for ever.
+    // A pull that never gets a response does not block the next one for ever.
     rig.now += PullSchedule::pullTimeout;
     rig.apply(HelloReceived { rig.hello(8, 0) });
     CHECK(rig.count<Pull>() == 1);
@@ -342,7 +342,7 @@
     CHECK(snapshot.servers[0].startedAt == ServerStartTime(2000));
 }
 
-// A peer that does not know of a restart answers a pull, or a late write of the ended process comes last. Requests
+// A peer that does not know of a restart responds to a pull, or a late write of the ended process comes last. Requests
 // would be counted against a process that no longer exists.
 TEST_CASE("ControlState: the latest incarnation of a server stays, whoever reports an earlier one")
 {
--- a/test/dispatcher_test.cc
+++ b/test/dispatcher_test.cc
@@ -276,8 +276,8 @@
     CHECK(sent < 480);
 }
 
-// Failure: all racks have lost power and the service has no server for two seconds. Clients told to retry after half a
-// second are refused a second time, and that was their last attempt.
+// Failure: all racks have lost power and the service has no server for two seconds. Clients that are to retry after half
+// a second are refused a second time, and that was their last attempt.
 TEST_CASE("Dispatcher: during an outage clients get a retry time when the service may be back, within their maximum wait")
 {
     Rig rig({});
--- a/test/entry-reducer_test.cc
+++ b/test/entry-reducer_test.cc
@@ -150,7 +150,7 @@
 }
 
 // Guards against running a non-repeatable request twice: the connection to its agent is lost and the request may have
-// run. The caller gets the verdict at once, and no other server gets the request.
+// run. The client gets the verdict at once, and no other server gets the request.
 TEST_CASE("Entry: a non-repeatable request is not retried once it may have run")
 {
     Entry entry;
@@ -192,7 +192,7 @@
     CHECK(started(entry.arrive(2, "plain")).ticket.agentIncarnation == Incarnation(2));
 }
 
-// Guards against late ends: an attempt was cancelled at its deadline and its caller answered. Its end, reported
+// Guards against late ends: an attempt was cancelled at its deadline and its client answered. Its end, reported
 // afterwards, must have no effect and must not count as the end of a later attempt.
 TEST_CASE("Entry: the late end of a cancelled attempt is ignored")
 {
@@ -222,7 +222,7 @@
 }
 
 // Guards against a request that crashes one engine after the other. After the first crash it is retried once, alone.
-// After the second crash it is refused, even if its caller sends it again under another key.
+// After the second crash it is refused, even if its client sends it again under another key.
 TEST_CASE("Entry: a request that crashed two servers is refused at once")
 {
     Entry entry;
--- a/test/entry-registry_test.cc
+++ b/test/entry-registry_test.cc
@@ -192,7 +192,7 @@
 }
 
 // A fleet of hundreds of entries that all watch the store would use up its read limit. The first two of a data centre
-// watch for the others, and the others start when the store answers too few.
+// watch for the others, and the others start when the store responds to too few.
 TEST_CASE("EntryRegistry: two entries of a data centre watch the store, more when those can't")
 {
     EntryRegistry registry(member(9), {});
--- a/test/expertmap-protocol_test.cc
+++ b/test/expertmap-protocol_test.cc
@@ -207,7 +207,7 @@
 
 TEST_CASE("Map change: a fault stops the group for no longer than it lasts and a bounded number of steps")
 {
-    // Callers wait while a group holds. The outage of an agent stops the group only if a switch step is reached
+    // Clients wait while a group holds. The outage of an agent stops the group only if a switch step is reached
     // meanwhile. A restarted engine stops the group until it has loaded the current map, and possibly the next one, and
     // is admitted.
     constexpr int outage = 30;
--- a/test/rank-engine_test.cc
+++ b/test/rank-engine_test.cc
@@ -275,7 +275,7 @@
 
 // Guards against long pauses at a switch: engines leave a third of the commands unanswered for a while. Each lost
 // response was waited for and then retried by the coordinator. The group stopped at the switch meanwhile, and its
-// streams paused for longer than callers tolerate.
+// streams paused for longer than clients tolerate.
 TEST_CASE("Rank engine: with a third of the commands unanswered, a change stops the group only briefly")
 {
     int held = 0;
--- a/test/server-registry_test.cc
+++ b/test/server-registry_test.cc
@@ -58,8 +58,8 @@
     CHECK(registry.servers()[0].state == ServerState::Draining);
 }
 
-// The store is down for six seconds, heartbeats have no receiver and all entries expire. When it is back, the list is
-// empty for a second or two. Entries that applied this list would refuse every request while all servers answer.
+// The store is down for six seconds, heartbeats have no receiver and all list entries expire. When it is back, the list is
+// empty for a second or two. Entries that applied this list would refuse every request while all servers respond.
 TEST_CASE("ServerRegistry: servers that expired during a store outage stay until they can re-enter the list")
 {
     ServerRegistry registry;
--- a/test/store-cursor_test.cc
+++ b/test/store-cursor_test.cc
@@ -51,7 +51,7 @@
     CHECK(list(cursor, itemsAt(5, 4)) == Action::Apply);
 }
 
-// Failure: an answer from before the restore arrives late or over another connection, and overwrites what is known of
+// Failure: a response from before the restore arrives late or over another connection, and overwrites what is known of
 // the new era.
 TEST_CASE("StoreCursor: answers from before a restore are ignored")
 {
