--- a/include/swiftloft/policy/crash-quarantine.h
+++ b/include/swiftloft/policy/crash-quarantine.h
@@ -72,7 +72,7 @@
     seconds quarantinePeriod { 3600 };
     std::size_t capacity { 4096 };
     /// Messages that have passed through this many nodes are dropped. Well above the number that any propagation needs.
-    std::uint32_t maximumHops { 16 };
+    std::uint32_t maxHops { 16 };
 };
 
 /// Detects requests that crash the servers that run them. Used by entries and, as a second line of defence, by agents.
--- a/include/swiftloft/policy/retry-policy.h
+++ b/include/swiftloft/policy/retry-policy.h
@@ -64,7 +64,7 @@
 struct RetryPolicyOptions {
     BackoffOptions backoff;
     RetryAfterOptions retryAfter;
-    unsigned maximumAttempts { 4 };
+    unsigned maxAttempts { 4 };
 };
 
 /// Decides what to do after a failed attempt. Keeps no state about requests; the caller owns the budget.
--- a/include/swiftloft/policy/server-health.h
+++ b/include/swiftloft/policy/server-health.h
@@ -24,7 +24,7 @@
     double gapTolerance { 1.3 };
     /// The same for the ratio of observed to predicted first-byte latency, which is noisier than token gaps.
     double firstByteTolerance { 2.5 };
-    double maximumFactor { 8 };
+    double maxFactor { 8 };
     /// Time without observations after which a server is assumed to be as fast as the others again, so that it is
     /// selected again.
     seconds expireAfter { 20 };
--- a/src/gateway/store-follower.cc
+++ b/src/gateway/store-follower.cc
@@ -89,13 +89,13 @@
         co_await sleepUntil(Clock::now() + batchDelay);
 }
 
-bool StoreFollower::shouldApply(StoreCursor::Action answer, StoreEra previousEra)
+bool StoreFollower::shouldApply(StoreCursor::Action action, StoreEra previousEra)
 {
     if (previousEra != StoreEra() && m_cursor.era() != previousEra)
         log::write(log::Event::StoreReturned, "topic={} before={} after={}", nameOf(m_topic), previousEra.value(), m_cursor.era().value());
-    if (answer == StoreCursor::Action::RejectStale)
+    if (action == StoreCursor::Action::RejectStale)
         throw Exception({ ErrorCode::Stale, fmt::format("the store answered from before its return in era {}", previousEra.value()) });
-    return answer == StoreCursor::Action::Apply;
+    return action == StoreCursor::Action::Apply;
 }
 
 asio::awaitable<void> StoreFollower::backOff()
--- a/src/gateway/store-follower.h
+++ b/src/gateway/store-follower.h
@@ -41,9 +41,9 @@
 private:
     boost::asio::awaitable<void> follow(TimePoint notBefore);
     boost::asio::awaitable<void> poll();
-    /// Returns false when the items must be ignored according to `answer`. Throws `Stale` on a response from before a
+    /// Returns false when the items must be ignored according to `action`. Throws `Stale` on a response from before a
     /// restore of the store.
-    bool shouldApply(StoreCursor::Action answer, StoreEra previousEra);
+    bool shouldApply(StoreCursor::Action action, StoreEra previousEra);
     boost::asio::awaitable<void> backOff();
     boost::asio::awaitable<void> sleepUntil(TimePoint time);
 
--- a/src/gateway/upstream-pool.cc
+++ b/src/gateway/upstream-pool.cc
@@ -144,9 +144,9 @@
         while (list.size() > idleLimitOf(server))
             list.pop_front();
     }
-    auto isListed = [&](const ServerIncarnation& life) {
-        auto it = listed.find(life.id);
-        return it != listed.end() && it->second == life.startedAt;
+    auto isListed = [&](const ServerIncarnation& incarnation) {
+        auto it = listed.find(incarnation.id);
+        return it != listed.end() && it->second == incarnation.startedAt;
     };
     std::erase_if(m_idle, [&](auto& it) { return !isListed(it.first); });
     shutDownEndedIncarnations(listed);
--- a/src/policy/crash-quarantine.cc
+++ b/src/policy/crash-quarantine.cc
@@ -150,7 +150,7 @@
 {
     // Each forwarding adds its delay to the lifetime of a message, so a node that has just dropped a record could
     // receive it again from a slower node, and so on indefinitely. The hop limit ends this whatever the delays are.
-    if (message.hops >= m_options.maximumHops || message.remaining.count() <= 0)
+    if (message.hops >= m_options.maxHops || message.remaining.count() <= 0)
         return false;
     // The remaining time sent by a peer is not trusted: it is capped at the longest time that this node would set
     // itself.
--- a/src/policy/retry-policy.cc
+++ b/src/policy/retry-policy.cc
@@ -29,7 +29,7 @@
 
 Result<RetryPolicy> RetryPolicy::create(RetryPolicyOptions options)
 {
-    if (!options.maximumAttempts)
+    if (!options.maxAttempts)
         return Error { ErrorCode::InvalidArgument, "retry policy: maximum attempts must be at least 1" };
     auto backoff = Backoff::create(options.backoff);
     if (!backoff)
@@ -41,7 +41,7 @@
 {
     auto start = m_backoff.nextAttempt(attempt.attempts, now, generator);
     bool canResume = attempt.resumableFrom && *attempt.resumableFrom <= attempt.delivered;
-    if (canResume && start < attempt.deadline && attempt.attempts < m_options.maximumAttempts) {
+    if (canResume && start < attempt.deadline && attempt.attempts < m_options.maxAttempts) {
         // Re-attaching sends no new work to an engine, so it needs no retry budget.
         return { RetryAction::Resume, RetryReason::Allowed, start, attempt.delivered, seconds(0), attempt.verdict };
     }
@@ -61,7 +61,7 @@
     // that no run generated but that looks complete. So a response that has begun can only be resumed.
     if (attempt.delivered > OutputOffset(0))
         return RetryReason::OutputBegan;
-    if (attempt.attempts >= m_options.maximumAttempts)
+    if (attempt.attempts >= m_options.maxAttempts)
         return RetryReason::TooManyAttempts;
     if (start + attempt.expectedService >= attempt.deadline)
         return RetryReason::DeadlineTooClose;
--- a/src/policy/server-health.cc
+++ b/src/policy/server-health.cc
@@ -58,7 +58,7 @@
 {
     auto gap = slowdown(m_tokenGap, baseline.tokenGap.value(), options.gapTolerance);
     auto firstByte = slowdown(m_firstByteRatio, baseline.firstByteRatio.value(), options.firstByteTolerance);
-    m_factor = std::min(std::max(gap, firstByte), options.maximumFactor);
+    m_factor = std::min(std::max(gap, firstByte), options.maxFactor);
     m_observedAt = now;
 }
 
