--- a/test/load-collector_test.cc
+++ b/test/load-collector_test.cc
@@ -105,7 +105,7 @@
     it.observe(start);
     report(0, 2, 100);
     it.observe(start);
-    CHECK_FALSE(it.planner().isKnown());
+    CHECK_FALSE(it.planner().hasEnoughTokens());
     report(1, 2, 100);
     it.observe(start);
     CHECK(it.planner().isKnown());
