--- a/include/swiftloft/policy/admission-queue.h
+++ b/include/swiftloft/policy/admission-queue.h
@@ -66,8 +66,8 @@
 
 enum class AdmissionAction {
     Start,
-    /// Respond immediately with `retryAfter`. This attempt has not run, but the verdict of a resend also depends on the
-    /// earlier attempts.
+    /// Respond immediately with `retryAfter`. This attempt has not run. When the request is a resend, its verdict also
+    /// depends on the earlier attempts.
     Refuse,
 };
 
@@ -82,8 +82,9 @@
 
 /// Queues requests while the backend servers of a service are at capacity, and shares the capacity fairly.
 ///
-/// Uses start-time fair queueing between organisations: each start advances the tag of its organisation by cost /
-/// weight, and the organisation with the smallest tag is served next. An organisation that requests three times its
+/// Uses start-time fair queueing between organisations: each organisation has a tag, its position in virtual time. Each
+/// start advances the tag of its organisation by cost / weight, and the organisation with the smallest tag is served
+/// next. An organisation that requests three times its
 /// share is delayed only by its own requests. A request that cannot meet its deadline is refused on arrival, so that
 /// capacity goes to work whose result is still needed. Each event costs O(log n) in the number of queued requests and
 /// organisations.
@@ -101,7 +102,7 @@
     void onAbandon(AdmissionId id);
     /// Refuses the queued requests whose latest start time has passed.
     AdmissionEffects onTimer(TimePoint now, Generator& generator);
-    /// Time at which to call `onTimer`, or nothing when no request is queued.
+    /// Time at which to call `onTimer`; `nullopt` when no request is queued.
     std::optional<TimePoint> nextTimer() const;
 
     AdmissionEffects setCapacity(Tokens capacity, TimePoint now, Generator& generator);
--- a/include/swiftloft/policy/claim-protocol.h
+++ b/include/swiftloft/policy/claim-protocol.h
@@ -15,14 +15,17 @@
     SendRelease,
     /// Send the request to the agent, with the claim and the incarnation that granted it.
     SendRun,
-    /// The key is running or has run at this agent: fetch the response there. If the agent does not know the key,
-    /// answer the client with may-have-run.
+    /// The request with this key is running or has run at this agent: fetch the response there. If the agent does not
+    /// know the key, answer the client with may-have-run.
     Attach,
     Refuse,
 };
 
+/// Why a claim attempt was refused. `HomeTooYoung`, `HomeFull` and `ListBehind` stand for the answers `TooYoung`, `Full`
+/// and `StaleList` of a home.
 enum class ClaimRefusal {
     None,
+    /// No agents are known, so the key has no homes.
     NoHomes,
     HomeUnreachable,
     HomeTooYoung,
@@ -47,14 +50,15 @@
 
 /// One entry's attempt to run a request that carries only a key chosen by the client.
 ///
-/// The protocol claims the key at each home in turn, starting with the runner, and runs the request only when all homes
-/// have granted the claim. Two attempts whose homes have one agent in common cannot both get all grants, and a
+/// The homes of a key are the agents that remember the claims on it; the first home is the runner, which runs the
+/// request. The protocol claims the key at each home in turn, starting with the runner, and runs the request only when
+/// all homes have granted the claim. Two attempts whose homes have one agent in common cannot both get all grants, and a
 /// restarted agent refuses; so the key runs at most once even though the entries' instance lists differ. The runner
 /// comes first because its claim must not outlive the other claims: when an entry pauses between claims, the runner's
 /// claim expires first and the run is refused.
 ///
-/// A refusal here never says not-run, because the entry does not know the key's history at the homes that it did not
-/// contact.
+/// The verdict of a refusal is never `NotRun`, because the entry does not know the key's history at the homes that it
+/// did not contact.
 class ClaimProtocol {
 public:
     /// `homes` is the result of `HomeSelector::homesOf`.
--- a/include/swiftloft/policy/claim-table.h
+++ b/include/swiftloft/policy/claim-table.h
@@ -12,7 +12,7 @@
 namespace swiftloft::policy {
 
 struct ClaimTableOptions {
-    /// Minimum time after its first use during which a key is not run again. The service guarantees this time to its
+    /// Minimum time for which a key is not run again after its first use. The service guarantees this time to its
     /// clients.
     seconds retention { 600 };
     /// Time within which the run of a granted claim must start.
@@ -43,7 +43,7 @@
     /// `ClaimReply`.
     RunAnswer onRun(const ClientKey& key, const ClaimId& claim, Incarnation incarnation, TimePoint now);
     void onFinish(const ClientKey& key, Verdict verdict, TimePoint now);
-    /// Outcome of a key, for an entry that attaches to its run; nothing when the key did not run here.
+    /// Outcome of a key, for an entry that attaches to its run; `nullopt` when the key did not run here.
     std::optional<Verdict> outcomeOf(const ClientKey& key) const;
     /// Removes expired keys.
     void tick(TimePoint now);
--- a/include/swiftloft/policy/crash-quarantine.h
+++ b/include/swiftloft/policy/crash-quarantine.h
@@ -21,9 +21,9 @@
 /// Computes the id of a crash. `count` is the number of engine crashes that this agent incarnation has observed so far.
 CrashId crashIdOf(const BackendServerId& server, Incarnation agent, std::uint64_t count);
 
-/// Selects the server that runs a suspect request in isolation. All entries with the same candidates select the same
-/// server, so that all copies of a suspect reach one agent, which runs them one at a time. Linear in the number of
-/// candidates; suspects are rare.
+/// Selects the server that runs a suspect (a request that was in flight when an engine crashed) in isolation. All
+/// entries with the same candidates select the same server, so that all copies of a suspect reach one agent, which runs
+/// them one at a time. Linear in the number of candidates; suspects are rare.
 std::optional<BackendServerId> isolationServer(Fingerprint fingerprint, std::span<const BackendServerId> candidates);
 
 /// The requests that were in flight on a backend server when it crashed.
@@ -32,7 +32,8 @@
     std::vector<Fingerprint> inFlight;
 };
 
-/// Suspicion of one fingerprint for one crash. Small enough to be propagated to every entry and agent.
+/// States that requests with this fingerprint are suspected of having caused this crash, or, when `isCleared` is set,
+/// that they did not cause it. Small enough to be propagated to every entry and agent.
 struct SuspicionMessage {
     Fingerprint fingerprint;
     CrashId crash;
@@ -51,11 +52,11 @@
     Admit,
     /// The request is a suspect: send it to `isolationServer`, which runs it alone.
     RunAlone,
-    /// The request is a suspect and a copy of it is running: refuse for now. This attempt has not run; earlier attempts
-    /// of a resend may have.
+    /// The request is a suspect and a copy of it is running: refuse for now. This attempt has not run, but earlier
+    /// attempts of the same request may have run.
     Wait,
-    /// The request is quarantined: refuse it until `until`. This attempt has not run; earlier attempts of a resend may
-    /// have.
+    /// The request is quarantined: refuse it until `until`. This attempt has not run, but earlier attempts of the same
+    /// request may have run.
     Refuse,
 };
 
--- a/include/swiftloft/policy/dedup-table.h
+++ b/include/swiftloft/policy/dedup-table.h
@@ -16,7 +16,7 @@
 struct DedupTableOptions {
     /// Maximum number of tickets in the table.
     std::size_t capacity { 65536 };
-    /// Length of an epoch, and the number of epochs after its own for which a ticket is accepted.
+    /// Length of an epoch, and the number of later epochs in which a ticket is still accepted.
     seconds epochLength { 60 };
     std::uint64_t epochsKept { 10 };
 };
@@ -31,7 +31,7 @@
     Cancelled,
     /// The ticket names another agent, or another incarnation of this agent, whose table is lost.
     OtherIncarnation,
-    /// The ticket is older than the horizon, and its record has been dropped.
+    /// The ticket's epoch is before the horizon (the oldest epoch still accepted), and its record has been dropped.
     TooOld,
     /// The ticket is from an epoch that this agent has not reached, so it is damaged or forged.
     NotYetMinted,
@@ -62,9 +62,9 @@
     StartResult start(const Ticket& ticket);
     /// The run has ended with the verdict `Ran` or `MayHaveRun`.
     void finish(const Ticket& ticket, Verdict verdict);
-    /// Cancels a request that has not started. `NotRun` leaves a tombstone that stops late copies; it is returned only
-    /// when the tombstone is kept until the horizon has passed the ticket. For a run in progress it returns
-    /// `MayHaveRun`, and the run continues.
+    /// Cancels a request that has not started. `NotRun` means that a tombstone has been recorded, which stops late
+    /// copies and is kept until the horizon has passed the ticket. For a run in progress the result is `MayHaveRun`,
+    /// and the run continues.
     Verdict cancel(const Ticket& ticket);
 
     /// Starts a new epoch when the current one has ended.
@@ -97,7 +97,7 @@
 
     DedupTable(DedupTableOptions options, BackendServerId self, Incarnation incarnation, TimePoint now);
     bool isForThisIncarnation(const Ticket& ticket) const;
-    /// Returns why a ticket that is not in the table must be rejected, or nothing when it is acceptable and there is
+    /// Returns why a ticket that is not in the table must be rejected, or `nullopt` when it is acceptable and there is
     /// room.
     std::optional<StartAnswer> admit(const Ticket& ticket);
     bool makeRoom();
--- a/include/swiftloft/policy/fleet-share.h
+++ b/include/swiftloft/policy/fleet-share.h
@@ -8,23 +8,25 @@
 
 namespace swiftloft::policy {
 
-/// What an entry does with its share when it has not read the instance list for a long time.
+/// What an entry does with its share (the fraction of the limit that it may use) when it has not read the instance list
+/// for a long time.
 enum class StaleListPolicy {
     /// Keeps the current share. An outage of the platform then stops no traffic, but an entry that was removed from the
     /// list, and can neither read the list nor be stopped, also keeps its share.
     KeepShare,
-    /// Releases the share. The sum of all shares then stays within the limit even in that case, but an outage of the
-    /// list refuses all limited traffic.
+    /// Releases the share. The sum of all shares then stays within the limit even when an entry that was removed from
+    /// the list cannot read it and still runs, but all limited traffic is refused while the list cannot be read.
     ReleaseShare,
 };
 
 struct FleetShareOptions {
-    /// A larger share is used only when every list read in this time allows it. Must be at least the maximum lag of the
-    /// list.
+    /// Time by which an increase of the share is delayed: a larger share is used only when every list read within this
+    /// time allows it. Must be at least the maximum lag of the list, the time by which a list may be out of date when
+    /// it is read.
     milliseconds window { 30000 };
     StaleListPolicy staleListPolicy { StaleListPolicy::KeepShare };
-    /// With `ReleaseShare`: the age of the last read at which the share is released. Must be at most the window minus
-    /// the maximum lag of the list, since the other entries increase their shares one window after this entry was
+    /// With `ReleaseShare`: the share is released when the last read is older than this. Must be at most the window
+    /// minus the maximum lag of the list, since the other entries increase their shares one window after this entry was
     /// removed.
     milliseconds staleAfter { 15000 };
 };
@@ -46,8 +48,8 @@
     /// `now` is the start time of the process.
     static Result<FleetShare> create(FleetShareOptions options, TimePoint now);
 
-    /// The list was read, whether or not it has changed: it has `size` entry instances, and `containsSelf` says whether
-    /// it names this one.
+    /// Called for every read of the instance list, also when the list has not changed. `size` is the number of entry
+    /// instances in the list; `containsSelf` says whether this entry is one of them.
     void onInstanceList(std::size_t size, bool containsSelf, TimePoint now);
     /// Share of the limit at `now`, from 0 to 1.
     double at(TimePoint now);
@@ -59,7 +61,7 @@
     /// A time interval in which the lists read had at most this size.
     struct Interval {
         std::size_t size;
-        /// When a smaller list replaced it; `TimePoint::max()` for the current one.
+        /// Time at which a list of a smaller size was read; `TimePoint::max()` for the interval that has not ended.
         TimePoint end;
     };
 
@@ -71,7 +73,7 @@
     void advance(TimePoint now);
 
     FleetShareOptions m_options;
-    /// Sizes decrease and end times increase from front to back: the front is the largest in the window.
+    /// Sizes decrease and end times increase from front to back, so the front has the largest size in the window.
     std::deque<Interval> m_intervals;
     TimePoint m_lastReadAt;
     TimePoint m_integratedUntil;
--- a/include/swiftloft/policy/organisation-limits.h
+++ b/include/swiftloft/policy/organisation-limits.h
@@ -27,15 +27,16 @@
     Incarnation borrowerIncarnation;
     /// Increases with each request of this incarnation.
     std::uint64_t serial { 0 };
-    /// Everything that this lender granted for the organisation up to this serial is used up or will never be accepted.
+    /// All amounts that the receiver of this request has granted for the organisation up to this serial are used up, or
+    /// their grants will not be accepted any more.
     std::uint64_t spentUpTo { 0 };
     OrganisationName organisation;
     double requests { 0 };
     double tokens { 0 };
 };
 
-/// Transfers amounts that the lender has already deducted from its own bucket. When the grant is lost, the amount is
-/// lost; it can be used only once.
+/// Transfers amounts that the lender has already deducted from its own bucket. When the message is lost, the amounts
+/// are lost too, but no amount can be used twice.
 struct LendGrant {
     InstanceId lender;
     Incarnation borrowerIncarnation;
@@ -43,8 +44,8 @@
     OrganisationName organisation;
     double requests { 0 };
     double tokens { 0 };
-    /// Lease of the grant. The borrower counts from when it sent the request, the lender from when it sent the grant,
-    /// which is later.
+    /// Time for which the grant can be used. The borrower counts from when it sent the request, the lender from when it
+    /// sent the grant. The latter is later, so the borrower's lease ends first.
     milliseconds lease { 0 };
 };
 
@@ -72,7 +73,8 @@
 
 struct LimitDecision {
     LimitOutcome outcome { LimitOutcome::Admitted };
-    /// When refused: the time at which this entry's own share will suffice, for `Retry-After`.
+    /// When refused: the time at which this entry's own share will suffice, for `Retry-After`. When the current share
+    /// cannot suffice, the time is at least one window of the share from now.
     TimePoint retryAt;
     /// A lend request is pending; a grant may allow the request within a round trip.
     bool isBorrowing { false };
@@ -88,7 +90,7 @@
     /// Fractions of its burst that a lender keeps for its own callers: while it has callers, and while it is idle.
     double lenderReserve { 0.5 };
     double idleLenderReserve { 0.1 };
-    /// Number of peers contacted per round, and the minimum interval between two rounds.
+    /// Number of peers to which a round of lend requests goes, and the minimum interval between two rounds.
     std::size_t peersPerRound { 2 };
     milliseconds lendRequestInterval { 20 };
     milliseconds maxLendRequestInterval { 200 };
@@ -112,25 +114,27 @@
     ~OrganisationLimits();
 
     /// Sets or changes a limit. `isUnusedSinceStart` says that this entry has admitted nothing for the organisation
-    /// since it was created; the bucket of a new limit then starts with what its share has accumulated since then, up
-    /// to the burst. Otherwise it starts empty.
+    /// since it was created. The bucket of a new limit then starts with what the entry's share has accumulated since
+    /// the entry was created, up to the burst. Otherwise the bucket starts empty.
     void setLimit(const OrganisationName& organisation, const OrganisationLimit& limit, TimePoint now, bool isUnusedSinceStart = false);
     void removeOrganisation(const OrganisationName& organisation);
     /// The instance list was read; `entries` are the live entry instances.
     void onInstanceList(const std::vector<InstanceId>& entries, TimePoint now);
 
-    /// Takes one request and `estimate` tokens from the buckets, or nothing. When refused, it may append lend requests
-    /// to `effects`.
+    /// Takes one request and `estimate` tokens from the buckets, or takes nothing and refuses. A refusal may append
+    /// lend requests to `effects`.
     LimitDecision admit(const OrganisationName& organisation, Tokens estimate, TimePoint now, LimitEffects& effects);
     /// The request has ended and has cost `actual` tokens. Returns unused tokens to the bucket, or deducts the excess
     /// from future admissions.
     void settle(const OrganisationName& organisation, Tokens estimate, Tokens actual, TimePoint now);
 
-    /// A lend request of a peer has arrived. Grants from the amount that is unused here, or returns nothing.
+    /// A lend request of a peer has arrived. Grants from the amount that is unused here; returns no effects when there
+    /// is nothing to lend.
     LimitEffects onLendRequest(const LendRequest& request, TimePoint now);
     /// Returns false when the grant is refused because it is late, duplicated or was not requested by this incarnation.
     bool onLendGrant(const LendGrant& grant, TimePoint now);
 
+    /// Fraction of each limit that this entry may use, see `FleetShare`.
     double share(TimePoint now);
     /// Tokens that this entry could admit now, for display.
     double availableTokens(const OrganisationName& organisation, TimePoint now);
--- a/include/swiftloft/policy/prefix-index.h
+++ b/include/swiftloft/policy/prefix-index.h
@@ -24,7 +24,8 @@
 std::vector<BlockHash> prefixBlocks(std::string_view prompt, std::uint64_t salt, const PrefixBlockOptions& options);
 
 struct PrefixIndexOptions {
-    /// Number of entries, rounded up to a power of two of buckets of four. One entry takes 16 bytes.
+    /// Number of entries. Buckets have four entries, and the number of buckets is rounded up to a power of two. One
+    /// entry takes 16 bytes.
     std::size_t capacity { 1 << 16 };
     /// Time after which an unconfirmed entry is ignored: engines evict cached prefixes without reporting it.
     seconds expireAfter { 300 };
@@ -34,7 +35,7 @@
 ///
 /// A four-way set-associative table: memory is fixed, a lookup touches one cache line, and the least recently used of
 /// four entries is replaced. The index is a hint. A wrong entry costs one prefill, so lost and late cache events need
-/// no repair.
+/// not be repaired.
 class PrefixIndex {
 public:
     struct Holder {
@@ -49,7 +50,8 @@
 
     /// Records that `server` has computed, and therefore caches, every prefix in `blocks`.
     void insert(std::span<const BlockHash> blocks, ServerHandle server, TimePoint now);
-    /// Fills `holders` with the servers of the longest prefix that has any, and returns their number.
+    /// Fills `holders` with the servers that are expected to have cached the longest known prefix, and returns their
+    /// number.
     std::size_t find(std::span<const BlockHash> blocks, TimePoint now, Holders& holders) const;
     void evict(BlockHash block, ServerHandle server);
     /// Invalidates all entries of `server` in constant time, after a restart or a gap in its cache events.
--- a/include/swiftloft/policy/router.h
+++ b/include/swiftloft/policy/router.h
@@ -137,7 +137,7 @@
     const BackendServerId* idOf(ServerHandle server) const;
     std::size_t size() const;
 
-    /// Returns nothing when no server may get new work.
+    /// Returns `nullopt` when no server may get new work.
     std::optional<RouteChoice> choose(const RouteRequest& request, TimePoint now, Generator& generator) const;
     /// The request was sent to the chosen server.
     void onStart(const RouteChoice& choice, const RouteRequest& request, TimePoint now);
--- a/include/swiftloft/policy/server-health.h
+++ b/include/swiftloft/policy/server-health.h
@@ -20,7 +20,8 @@
 struct ServerHealthOptions {
     /// Weight of the newest observation in a server's moving average.
     double weight { 0.2 };
-    /// Token gaps above the service's median times this factor count as slow; smaller differences are noise.
+    /// Token gaps (times between two tokens) above the service's median times this factor count as slow; smaller
+    /// differences are noise.
     double gapTolerance { 1.3 };
     /// The same for the ratio of observed to predicted first-byte latency, which is noisier than token gaps.
     double firstByteTolerance { 2.5 };
--- a/src/policy/admission-queue.cc
+++ b/src/policy/admission-queue.cc
@@ -93,8 +93,9 @@
         return timeToLatestStart >= 0 && wait <= timeToLatestStart * options.waitMargin;
     }
 
-    /// Guards against one organisation filling the queue: the others would be refused although their shares are unused.
-    /// Evicts a request of the organisation with the largest backlog relative to its weight.
+    /// When the queue is full, evicts a request of the organisation with the largest backlog relative to its weight.
+    /// Otherwise one organisation could fill the queue, and the others would be refused although their shares are
+    /// unused.
     bool evictFor(const AdmissionRequest& request, TimePoint now, Generator& generator, AdmissionEffects& effects)
     {
         if (queue.size() < options.maximumQueued)
--- a/src/policy/claim-table.cc
+++ b/src/policy/claim-table.cc
@@ -36,7 +36,8 @@
 
 std::optional<ClaimAnswer> ClaimTable::refusalReason(const ClaimRequest& request, TimePoint now) const
 {
-    // An entry that was paused during list changes would claim at homes that no other entry uses any more.
+    // An entry that was paused during list changes would claim at homes that no other entry uses any more, so its claim
+    // would not conflict with another entry's claim on the same key.
     if (isStale(request.revision, now))
         return ClaimAnswer::StaleList;
     // A restarted agent has lost its record of granted claims; granting a key again could let it run twice.
@@ -83,8 +84,8 @@
         return RunAnswer::AlreadyRunning;
     if (record.phase == Phase::Finished)
         return RunAnswer::AlreadyFinished;
-    // An entry was paused between its last grant and the run: the other homes may have dropped the claim, and another
-    // entry may have run the key.
+    // The entry was paused between its last grant and the run. Meanwhile the other homes may have dropped the claim,
+    // and another entry may have run the key.
     if (now >= record.leaseExpiresAt)
         return RunAnswer::NotClaimed;
     record.phase = Phase::Running;
--- a/src/policy/dedup-table.cc
+++ b/src/policy/dedup-table.cc
@@ -62,7 +62,8 @@
 {
     if (!isForThisIncarnation(ticket))
         return StartAnswer::OtherIncarnation;
-    // Making room may raise the horizon past this ticket, so it precedes the check.
+    // Making room may raise the horizon (the oldest epoch still accepted) past this ticket's epoch. So room is made
+    // before the epoch is checked.
     bool hasRoom = makeRoom();
     if (ticket.epoch < m_horizon)
         return StartAnswer::TooOld;
@@ -112,8 +113,9 @@
             return Verdict::NotRun;
         return it->second.phase == Phase::Finished ? it->second.verdict : Verdict::MayHaveRun;
     }
-    // That the ticket is not in the table proves that it did not run only if the table would have kept it, and will
-    // keep it from now on.
+    // A missing record alone does not prove that the request has not run, since the record may have been dropped.
+    // `NotRun` is returned only when the table would still hold the record of an earlier run and has room for a
+    // tombstone, which stops copies that arrive later.
     if (admit(ticket))
         return Verdict::MayHaveRun;
     insert(ticket, { Phase::Tombstone, Verdict::NotRun });
@@ -156,7 +158,8 @@
     while (!m_epochs.empty() && m_epochs.front().epoch < m_horizon) {
         for (auto& ticket : m_epochs.front().tickets) {
             auto it = m_records.find(ticket);
-            // A run in progress is kept, so that copies attach to it; finish() removes it.
+            // The record of a run in progress is kept, so that a copy that arrives later is told to attach to the run.
+            // finish() removes the record.
             if (it != m_records.end() && it->second.phase != Phase::Running)
                 m_records.erase(it);
         }
--- a/src/policy/fair-queue.cc
+++ b/src/policy/fair-queue.cc
@@ -70,7 +70,8 @@
         slot = m_freeSlots.back();
         m_freeSlots.pop_back();
     }
-    // A request without cost would be queued without adding to the backlog, which marks its organisation as active.
+    // An organisation counts as active while its backlog is above zero, so even a request without cost must add to the
+    // backlog.
     auto cost = std::max(request.cost, Tokens(1));
     m_requests[slot] = { request.id, cost, organisation, request.priority, noSlot, noSlot };
     m_slots.emplace(request.id.value(), slot);
--- a/src/policy/fair-queue.h
+++ b/src/policy/fair-queue.h
@@ -13,6 +13,7 @@
 
 constexpr std::uint32_t noSlot = 0xffffffff;
 
+/// A queued request. `previous` and `next` are the slots of its neighbours in the list of its organisation and priority.
 struct QueuedRequest {
     AdmissionId id;
     Tokens cost;
@@ -22,6 +23,7 @@
     std::uint32_t next { noSlot };
 };
 
+/// The queued requests of one organisation and priority, as a doubly linked list of slots.
 struct RequestList {
     std::uint32_t first { noSlot };
     std::uint32_t last { noSlot };
@@ -31,14 +33,15 @@
 struct OrganisationQueue {
     OrganisationName name;
     double weight { 1 };
-    /// Virtual time at which the work started so far is accounted for.
+    /// Virtual time up to which the organisation has been charged for the work started so far.
     double finishTag { 0 };
     Tokens backlog;
     std::array<RequestList, priorityCount> lists;
 };
 
-/// Queued requests, in lists by organisation and priority, indexed by the orders in which they can leave: turn, latest
-/// start time and largest share.
+/// Queued requests, in lists by organisation and priority, indexed by the three orders in which they can leave: the
+/// organisation's turn (start), the latest start time (expiry) and the largest backlog relative to the weight
+/// (eviction).
 class FairQueue {
 public:
     std::uint32_t organisationSlot(const OrganisationName& name);
--- a/src/policy/lending-bucket.h
+++ b/src/policy/lending-bucket.h
@@ -10,12 +10,12 @@
 
 namespace swiftloft::policy::internal {
 
-/// An amount with an expiry, borrowed from `peer` or lent to it under the borrower's `serial`.
+/// An amount with an expiry, borrowed from `peer` or lent to it.
 struct Lease {
     double amount;
     TimePoint expiresAt;
     InstanceId peer;
-    /// The borrower's incarnation, and its serial of the lend request.
+    /// Incarnation of the borrower, and serial of the lend request for which the amount was granted.
     Incarnation incarnation;
     std::uint64_t serial { 0 };
 };
@@ -31,7 +31,9 @@
 /// One entry's part of one limit: a token bucket with the amounts borrowed into it and lent out of it.
 class LendingBucket {
 public:
-    /// Without a rate the bucket is not limited. A bucket that was not limited before starts empty at `shareIntegral`.
+    /// Without a rate the bucket is not limited. `shareIntegral` is the time integral of the share (the fraction of the
+    /// limit that this entry may use). When the bucket had no rate before, it starts empty, and the next refill adds
+    /// what the share has accumulated since `shareIntegral`.
     void setRate(std::optional<double> perSecond, double burstSeconds, double shareIntegral)
     {
         if (!m_rate) {
@@ -43,8 +45,8 @@
     }
     bool isLimited() const { return m_rate.has_value(); }
 
-    /// Adds what has accumulated since the last refill. `shareIntegral` is the time integral of the share, `share` its
-    /// current value.
+    /// Adds what the share has accumulated since the last refill, and removes expired leases. `shareIntegral` is the
+    /// time integral of the share up to `now`, `share` its current value.
     void refill(double shareIntegral, double share, TimePoint now)
     {
         std::erase_if(m_borrowed, [&](auto& it) { return it.expiresAt <= now; });
@@ -60,7 +62,9 @@
     double available() const { return m_rate ? m_level + sumOf(m_borrowed) : std::numeric_limits<double>::infinity(); }
     double burst() const { return m_rate ? *m_rate * m_burstSeconds * m_share : 0; }
 
-    /// Seconds until `amount` is available from this entry's own share alone; nothing when it never will be.
+    /// Seconds until `amount` is available if no further grants arrive. Amounts that are already borrowed count as
+    /// available. Returns `nullopt` when the bucket gains nothing at the current share or `amount` exceeds the burst,
+    /// because waiting does not help then.
     std::optional<double> secondsUntil(double amount) const
     {
         if (!m_rate || available() >= amount)
@@ -71,7 +75,7 @@
         return (amount - available()) / gain;
     }
 
-    /// Takes borrowed amounts first, in order of expiry, then the bucket's own.
+    /// Takes from borrowed amounts first, in order of expiry, then from the bucket's own level.
     void take(double amount, TimePoint now)
     {
         m_lastUsedAt = now;
@@ -85,14 +89,14 @@
         m_level -= amount;
     }
 
-    /// Returns an unused amount, or deducts a negative one. The next refill, which precedes every use, limits the
-    /// level.
+    /// Returns an unused amount to the bucket; a negative amount is deducted. The level is not capped here, because
+    /// every use is preceded by a refill, which caps it.
     void refund(double amount) { m_level += amount; }
     void borrow(Lease lease) { m_borrowed.push_back(std::move(lease)); }
     const std::vector<Lease>& borrowed() const { return m_borrowed; }
 
     /// Amount that may be lent. Borrowed amounts are excluded, since their leases belong to other entries. A bucket
-    /// whose own callers have used nothing for the duration of a whole burst keeps a smaller reserve.
+    /// from which this entry's own callers have taken nothing for `burstSeconds` keeps the smaller `idleReserve`.
     double lendable(double reserve, double idleReserve, TimePoint now) const
     {
         if (!m_rate)
@@ -105,16 +109,17 @@
         m_level -= lease.amount;
         m_lent.push_back(std::move(lease));
     }
-    /// Ends the leases up to `spentUpTo`: the borrower has used up all it was granted under these serials, so none of
-    /// it can be used any more.
+    /// Removes the leases of `borrower` up to the serial `spentUpTo`. The borrower has reported that it holds nothing
+    /// of these grants and will accept no late copy of them, so the bucket may refill these amounts before the leases
+    /// expire.
     void release(const InstanceId& borrower, Incarnation incarnation, std::uint64_t spentUpTo)
     {
         std::erase_if(m_lent, [&](auto& it) { return it.peer == borrower && it.incarnation == incarnation && it.serial <= spentUpTo; });
     }
 
 private:
-    /// Guards the burst limit of the whole fleet: if the bucket refilled while its grants are unused, the bucket and
-    /// the grants together would allow more at one time than the limit's burst.
+    /// The burst minus the amounts lent. If the bucket refilled an amount that a borrower can still use, the bucket and
+    /// the grants together would allow more at one time than the burst of the fleet-wide limit.
     double maxLevel() const { return std::max(0.0, burst() - sumOf(m_lent)); }
 
     std::optional<double> m_rate;
--- a/src/policy/organisation-limits.cc
+++ b/src/policy/organisation-limits.cc
@@ -136,8 +136,8 @@
         return spent;
     }
 
-    /// False for a duplicated or reordered request: it would deduct the same amount twice for a borrower that accepts
-    /// it once.
+    /// Returns false for a duplicated or reordered request. Granting it would deduct the same amount twice, although
+    /// the borrower accepts the grant only once.
     bool isNewRequest(const LendRequest& request)
     {
         auto& known = borrowers[request.borrower];
@@ -274,8 +274,8 @@
         return false;
     auto pendingLoan = *it;
     pendingLoans.erase(it);
-    // The lease counts from the sending of the request, which precedes the grant: it ends here before it ends at the
-    // lender.
+    // The borrower's lease counts from when it sent the request, the lender's from when it sent the grant. So the lease
+    // ends here before it ends at the lender.
     auto end = pendingLoan.sentAt + std::min(grant.lease, m_state->options.lease);
     if (now >= end)
         return false;
--- a/src/policy/router.cc
+++ b/src/policy/router.cc
@@ -30,7 +30,8 @@
 {
     if (!cachedBlocks)
         return request.promptTokens;
-    // The last, partial block is counted with the whole ones: at most one block of error.
+    // The last, partial block of the prompt has no hash of its own; its tokens are spread over the whole blocks. The
+    // error is at most one block.
     auto blocks = static_cast<std::int64_t>(request.prefix.size());
     auto missing = blocks - std::min<std::int64_t>(blocks, static_cast<std::int64_t>(cachedBlocks));
     return Tokens(request.promptTokens.value() * missing / blocks);
@@ -317,7 +318,7 @@
         m_state->prefixes.invalidate(choice.server);
     auto wasProbed = server->isBeingProbed;
     if (kind == FailureKind::Refused) {
-        // An agent that refuses for lack of capacity is alive.
+        // An agent that refuses for lack of capacity is alive, so a server that was being probed becomes active again.
         m_state->servers.activate(choice.server);
         return;
     }
--- a/src/policy/server-health.cc
+++ b/src/policy/server-health.cc
@@ -23,7 +23,7 @@
 
 void RunningMedian::add(double value)
 {
-    // The steps are wide at first, so that a bad first value is corrected quickly, and then one percent.
+    // The first steps are wide, so that a bad first value is corrected quickly; later steps are one percent.
     constexpr double firstStep = 0.3;
     constexpr double lastStep = 0.01;
     if (!(value > 0))
@@ -66,8 +66,8 @@
 {
     m_failures = 0;
     m_failureShare *= 1 - options.weight;
-    // A server that fails every other request succeeds in between; only a longer period without ejection resets the
-    // count.
+    // A success resets the count of ejections only when `maxEjection` has passed since the end of the last ejection,
+    // because a server that fails every other request also succeeds in between.
     if (now >= m_ejectedUntil + options.maxEjection)
         m_ejections = 0;
 }
--- a/src/policy/server-table.h
+++ b/src/policy/server-table.h
@@ -74,7 +74,7 @@
     void activate(ServerHandle handle);
     void eject(ServerHandle handle);
     void markLeaving(ServerHandle handle);
-    /// The ejected server whose ejection ended first, if it has ended.
+    /// The ejected server whose ejection period ends first, if that period is over.
     std::optional<std::uint32_t> dueForProbe(TimePoint now) const;
     /// Excludes a server from `dueForProbe` while it is being probed.
     void suspendProbe(std::uint32_t n);
--- a/test/claim-protocol_test.cc
+++ b/test/claim-protocol_test.cc
@@ -50,7 +50,7 @@
 /// A fault injected before one of the steps.
 struct Fault {
     std::size_t beforeStep { 0 };
-    /// Agent that restarts with empty memory. Without it, time advances beyond the lease.
+    /// Agent that restarts with empty memory. If not set, no agent restarts and time advances beyond the lease instead.
     std::optional<BackendServerId> restarted;
 };
 
@@ -197,7 +197,7 @@
 
 TEST_CASE("ClaimProtocol: an entry that resumes with an old list is refused by agents that know a newer one")
 {
-    // An entry is paused for an hour. All homes of its keys have moved, and the old ones are still up.
+    // An entry is paused for an hour. Meanwhile all homes of its keys have moved, but the former homes still respond.
     auto table = establishedTable();
     table.onListRevision(ListRevision(7), start);
     CHECK(table.onClaim(claimOf(1, 6), start + seconds(5)).answer == ClaimAnswer::Granted);
@@ -234,7 +234,8 @@
 
 TEST_CASE("ClaimTable: delayed copies of an old claim and its run have no effect on the agent's next incarnation")
 {
-    // The agent ran the request and restarted. Delayed copies of the claim and the run arrive long after.
+    // The agent ran the request and restarted. Delayed copies of the claim and the run arrive long after. If the new
+    // incarnation accepted them, the request would run twice.
     auto restarted = establishedTable(2);
     CHECK(restarted.onClaim(claimOf(1), start).answer == ClaimAnswer::Granted);
     CHECK(restarted.onRun(key, claimOf(1).claim, Incarnation(1), start) == RunAnswer::NotClaimed);
--- a/test/crash-quarantine_test.cc
+++ b/test/crash-quarantine_test.cc
@@ -222,7 +222,8 @@
 
 TEST_CASE("CrashQuarantine: memory is bounded, and a flood of suspects does not evict quarantined requests")
 {
-    // An engine that crashes repeatedly reports hundreds of suspects per hour.
+    // An engine that crashes repeatedly reports hundreds of suspects per hour. If they evicted the quarantined request,
+    // it would run again and crash another server.
     auto quarantine = makeQuarantine(50);
     quarantine.onCrash({ CrashId(1), { poison } }, start);
     quarantine.onCrash({ CrashId(2), { poison } }, start);
--- a/test/dedup-table_test.cc
+++ b/test/dedup-table_test.cc
@@ -72,7 +72,8 @@
 
 TEST_CASE("DedupTable: a copy that arrives after its record was dropped is refused, not run again")
 {
-    // A copy is held in a paused entry for an hour. The agent has long dropped its record of the request.
+    // A copy is held in a paused entry for an hour. The agent has long dropped its record of the request, so only the
+    // ticket's epoch shows that the copy must not run.
     auto table = makeTable();
     table.start(ticketOf(1));
     table.finish(ticketOf(1), Verdict::Ran);
--- a/test/organisation-limits_test.cc
+++ b/test/organisation-limits_test.cc
@@ -94,7 +94,7 @@
     int accepted() const { return m_accepted; }
     bool isBorrowing() const { return m_isBorrowing; }
     double admitted() const { return m_admitted; }
-    /// Largest excess over rate x time in any time interval; bounded by the burst.
+    /// Largest amount by which admissions exceeded rate x time in any time interval; bounded by the burst.
     double largestBurst() const { return m_largestBurst; }
 
 private:
--- a/test/router_test.cc
+++ b/test/router_test.cc
@@ -260,7 +260,7 @@
     CHECK(sent.size() == 4);
     auto rows = router.explain(it, now);
     auto [least, most] = std::minmax_element(rows.begin(), rows.end(), [](auto& a, auto& b) { return a.expectedWait < b.expectedWait; });
-    // The prefill of 400 ms that the cache saves, at twice its weight, and one request.
+    // Allowed difference: twice the prefill of 400 ms that the cache saves (the default weight is 2), and one request.
     CHECK(most->expectedWait <= least->expectedWait + milliseconds(1220));
     router.onCacheLost(first.server);
     for (auto& row : router.explain(it, now))
