--- a/include/swiftloft/policy/admission-queue.h
+++ b/include/swiftloft/policy/admission-queue.h
@@ -84,10 +84,9 @@
 ///
 /// Uses start-time fair queueing between organisations: each organisation has a tag, its position in virtual time. Each
 /// start advances the tag of its organisation by cost / weight, and the organisation with the smallest tag is served
-/// next. An organisation that requests three times its
-/// share is delayed only by its own requests. A request that cannot meet its deadline is refused on arrival, so that
-/// capacity goes to work whose result is still needed. Each event costs O(log n) in the number of queued requests and
-/// organisations.
+/// next. An organisation that requests three times its share is delayed only by its own requests. A request that cannot
+/// meet its deadline is refused on arrival, so that capacity goes to work whose result is still needed. Each event
+/// costs O(log n) in the number of queued requests and organisations.
 class AdmissionQueue {
 public:
     static Result<AdmissionQueue> create(AdmissionOptions options);
--- a/include/swiftloft/policy/claim-protocol.h
+++ b/include/swiftloft/policy/claim-protocol.h
@@ -21,8 +21,8 @@
     Refuse,
 };
 
-/// Why a claim attempt was refused. `HomeTooYoung`, `HomeFull` and `ListBehind` stand for the answers `TooYoung`, `Full`
-/// and `StaleList` of a home.
+/// Why a claim attempt was refused. `HomeTooYoung`, `HomeFull` and `ListBehind` stand for the answers `TooYoung`,
+/// `Full` and `StaleList` of a home.
 enum class ClaimRefusal {
     None,
     /// No agents are known, so the key has no homes.
@@ -52,8 +52,8 @@
 ///
 /// The homes of a key are the agents that remember the claims on it; the first home is the runner, which runs the
 /// request. The protocol claims the key at each home in turn, starting with the runner, and runs the request only when
-/// all homes have granted the claim. Two attempts whose homes have one agent in common cannot both get all grants, and a
-/// restarted agent refuses; so the key runs at most once even though the entries' instance lists differ. The runner
+/// all homes have granted the claim. Two attempts whose homes have one agent in common cannot both get all grants, and
+/// a restarted agent refuses; so the key runs at most once even though the entries' instance lists differ. The runner
 /// comes first because its claim must not outlive the other claims: when an entry pauses between claims, the runner's
 /// claim expires first and the run is refused.
 ///
--- a/src/policy/claim-table.cc
+++ b/src/policy/claim-table.cc
@@ -84,8 +84,8 @@
         return RunAnswer::AlreadyRunning;
     if (record.phase == Phase::Finished)
         return RunAnswer::AlreadyFinished;
-    // The entry was paused between its last grant and the run. Meanwhile the other homes may have dropped the claim,
-    // and another entry may have run the key.
+    // When the entry is paused between its last grant and the run, the other homes may drop the claim, and another
+    // entry may run the key. So the run is refused once the lease has expired.
     if (now >= record.leaseExpiresAt)
         return RunAnswer::NotClaimed;
     record.phase = Phase::Running;
--- a/src/policy/crash-quarantine.cc
+++ b/src/policy/crash-quarantine.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t quarantineThreshold = 2;
-/// Maximum number of crashes recorded per fingerprint; more would not change any decision.
+/// Maximum number of crashes recorded per fingerprint. More uncleared crashes than this do not change any decision.
 constexpr std::size_t maxCrashes = 4;
 
 template <typename Crashes>
--- a/src/policy/fair-queue.h
+++ b/src/policy/fair-queue.h
@@ -13,7 +13,8 @@
 
 constexpr std::uint32_t noSlot = 0xffffffff;
 
-/// A queued request. `previous` and `next` are the slots of its neighbours in the list of its organisation and priority.
+/// A queued request. `previous` and `next` are the slots of its neighbours in the list of its organisation and
+/// priority.
 struct QueuedRequest {
     AdmissionId id;
     Tokens cost;
--- a/src/policy/fingerprint.cc
+++ b/src/policy/fingerprint.cc
@@ -17,7 +17,7 @@
     return c == ' ' || c == '\t' || c == '\n' || c == '\r';
 }
 
-/// Hashes the text between insignificant whitespace.
+/// Hashes a JSON body without the whitespace outside its strings.
 class BodyHasher {
 public:
     explicit BodyHasher(XXH3_state_t* state)
--- a/src/policy/prefix-index.cc
+++ b/src/policy/prefix-index.cc
@@ -71,7 +71,7 @@
         m_generations.resize(server.slot + 1);
     }
     if (m_generations[server.slot] != server.generation) {
-        // The slot has been reused for another server, which does not hold what the previous one held.
+        // The slot has been reused for another server, which has not cached the prefixes of the previous one.
         m_generations[server.slot] = server.generation;
         ++m_epochs[server.slot];
     }
--- a/src/policy/server-health.cc
+++ b/src/policy/server-health.cc
@@ -46,7 +46,7 @@
 
 void ServerHealth::onFirstByte(microseconds predicted, microseconds observed, ServiceBaseline& baseline, const ServerHealthOptions& options, TimePoint now)
 {
-    // Very small predictions would give extreme ratios.
+    // Very small predictions would give extreme ratios, so both values are raised to this minimum.
     constexpr double minMicroseconds = 1000;
     auto ratio = std::max(minMicroseconds, static_cast<double>(observed.count())) / std::max(minMicroseconds, static_cast<double>(predicted.count()));
     baseline.firstByteRatio.add(ratio);
