--- a/src/gateway/async-dispatcher.cc
+++ b/src/gateway/async-dispatcher.cc
@@ -99,7 +99,8 @@
     auto effects = m_reducer.apply(Clock::now(), event);
     for (auto& effect : effects)
         std::visit([this](auto& it) { perform(it); }, effect);
-    // This event arrives with every event of every stream and does not change the load.
+    // A `StreamProgressed` does not change the load. It is skipped early because it occurs with every event of every
+    // stream.
     if (std::holds_alternative<dispatch::StreamProgressed>(event))
         return;
     armTimer();
--- a/src/gateway/control-message.h
+++ b/src/gateway/control-message.h
@@ -29,7 +29,7 @@
     Leaving,
 };
 
-/// An entry as it describes itself or as another entry passes it on.
+/// Description of an entry, sent by the entry itself or forwarded by another one.
 struct EntryMember {
     /// Address for datagrams and pulls. It identifies the entry.
     Endpoint control;
@@ -52,18 +52,18 @@
 /// A server that is leaving or has left.
 struct LeavingServer {
     ServerHash server;
-    /// Time for which this report is still passed on. Relative, as there is no common clock.
+    /// Time for which this report is still forwarded. Relative, because the entries have no common clock.
     milliseconds remaining { 0 };
-    /// Position at which its entry was removed from the list; unset where the server itself or the list reported that
-    /// it leaves.
+    /// Position of the store at which the server was removed from the list; unset if the server itself or the list
+    /// reported that it is leaving.
     std::optional<StorePosition> removedAt {};
 };
 
 /// An engine whose work takes this many times longer than usual counts as slow: it slows down its whole group.
 constexpr double slowPace { 1.25 };
 
-/// A rank whose group does not accept requests or whose engine is slow, as passed on by an entry that receives its
-/// agent's status.
+/// A rank whose group does not accept requests or whose engine is slow. It is reported by an entry that receives the
+/// status of the rank's agent.
 struct DegradedRank {
     Endpoint address;
     /// Time since the agent reported it. Relative, as there is no common clock.
@@ -83,6 +83,8 @@
     double promptTokens { 0 };
 };
 
+/// Message that an entry sends to other entries in each round: describes the sender and forwards what it knows of the
+/// fleet.
 struct Hello {
     EntryMember sender;
     /// Version of the configuration in force; 0 for none.
@@ -105,7 +107,7 @@
     Tokens promptTokens;
 };
 
-/// The request limit that a server's responses advertised, as passed on by an entry.
+/// The request limit that a server advertised in its responses, as reported by an entry.
 struct LimitReport {
     ServerHash server;
     /// Unset when the server no longer advertises a limit.
@@ -121,6 +123,8 @@
     milliseconds remaining { 0 };
 };
 
+/// Message from an entry to other entries about the requests that it runs on backend servers, with the request limits
+/// and the silent servers that it knows of.
 struct LoadUpdate {
     Incarnation incarnation;
     std::uint64_t sequence { 0 };
@@ -132,6 +136,7 @@
 /// Identifies one formation of a rank group, which ends when any rank restarts.
 using GroupEpoch = Strong<struct GroupEpochTag, std::uint64_t>;
 
+/// Message from an agent to entries about its engine's rank.
 struct RankStatus {
     Endpoint address;
     EngineGroupName group;
@@ -143,7 +148,8 @@
     double pace { 1 };
     /// Start time of the engine's process.
     ServerStartTime startedAt {};
-    /// The agent has the addresses of all ranks of its group. Until then briefs carry them.
+    /// The agent has the addresses of all ranks of its group. Until this is set, the briefs sent to the agent contain
+    /// the addresses.
     bool knowsGroup { false };
 };
 
@@ -152,6 +158,8 @@
     Endpoint address;
 };
 
+/// Message from an entry to an agent about the rank group of the agent's engine. It also shows the agent which entry to
+/// report to.
 struct GroupBrief {
     EngineGroupName group;
     GroupEpoch epoch;
@@ -173,7 +181,8 @@
 ControlMessageKind kindOf(const ControlMessage& message);
 
 std::string encode(const ControlMessage& message);
-/// Fails with `MalformedInput` on input that `encode` could not have produced. `words` must be aligned to 8 bytes.
+/// Fails with `MalformedInput` on input that `encode` could not have produced. `words` must be aligned to 8 bytes;
+/// `size` is in bytes.
 Result<ControlMessage> decodeMessage(const void* words, std::size_t size);
 
 std::string encode(const PublishedItems& items);
--- a/src/gateway/control-state-servers.cc
+++ b/src/gateway/control-state-servers.cc
@@ -36,7 +36,7 @@
     BackendServerId id(item.name);
     if (item.isRemoved) {
         m_loggedRejections.erase(item.name);
-        // A server whose entry may only have expired stays in use for a while, and so does its document.
+        // A server whose entry may only have expired stays in use for a while, and its document is kept as long.
         if (auto incarnation = m_servers.remove(now, item.position(), id)) {
             markLeavingChanged(m_departures.onRemoved(now, hashOf(*incarnation), item.position()));
             m_serverItems.erase(item.name);
@@ -98,8 +98,9 @@
     markLeavingChanged(m_departures.setList(now, knownServerPosition(), std::move(list)));
 }
 
-/// Failure: this entry does not watch the store, and the peers from which it would pull the new list are about to stop.
-/// Reports of leaving servers are short enough to be carried by every hello.
+/// Applies the reports of leaving servers in a hello. They are short enough for every hello to carry them. Without
+/// them, an entry that does not watch the store would have to pull the new list, and the peers that have it may be
+/// about to stop.
 void ControlState::applyLeaving(TimePoint now, const Hello& hello)
 {
     for (auto& it : hello.leaving) {
@@ -108,8 +109,8 @@
     }
 }
 
-/// Logs an ignored change if it is later than the document held of its server. In that case the list was already known
-/// beyond the change when it arrived.
+/// Logs an ignored change if it is later than the cached document of its server. Such a change was ignored because a
+/// later state of the list was already known when it arrived.
 void ControlState::logIgnoredChange(const PublishedItem& item) const
 {
     auto it = m_serverItems.find(item.name);
@@ -119,7 +120,8 @@
     log::write(log::Event::ListChangeLeftOut, "server=\"{}\" era={} revision={} known-era={} known={}", printable(item.name), item.era.value(), item.revision, known.era.value(), known.revision);
 }
 
-/// Returns nothing for an entry that can't be decoded. Logs the reason when the entry names no usable server.
+/// Returns `nullopt` for an entry that can't be decoded. Logs the reason for this, or that the entry names an unknown
+/// service.
 std::optional<BackendServer> ControlState::decodeServer(const PublishedItem& item)
 {
     if (!item.problem.empty()) {
@@ -166,8 +168,8 @@
     }
 }
 
-/// Failure: another writer fills the list with unusable entries, and each read of the list logs all of them. Logs one
-/// line for each name and revision, with as much of the name as is safe to print.
+/// Logs one line for each name and revision, with as much of the name as is safe to print. If another writer fills the
+/// list with unusable entries, each read of the list would otherwise log all of them.
 void ControlState::logRejectedEntry(const PublishedItem& item, std::string_view problem)
 {
     auto it = m_loggedRejections.find(item.name);
@@ -178,20 +180,21 @@
     log::write(log::Event::DocumentRefused, "kind=server name=\"{}\" revision={} problem=\"{}\"", printable(item.name), item.revision, printable(problem));
 }
 
-/// Also true while no configuration is known, since no requests are sent then.
+/// Also returns true while no configuration is known, because no requests are sent then.
 bool ControlState::isServiceKnown(const BackendServer& server) const
 {
     return !m_configuration || m_configuration->findService(server.service);
 }
 
-/// Failure: many servers lose power at once and are back within a second, under new ids at their old addresses, while
-/// their old entries stay listed until their heartbeats are missed. Requests sent to the old ids are rejected one after
-/// the other until their attempts are exhausted. An address therefore belongs to the server that was listed there last.
+/// Returns one server for each address: the one that was listed there last. Many servers may lose power together and
+/// return within a second, under new ids at their old addresses. Their old entries stay listed until missing heartbeats
+/// are noticed. A request sent to the old ids would be rejected by one server after the other until its attempts are
+/// exhausted.
 std::vector<BackendServer> ControlState::usableServers() const
 {
     auto servers = m_servers.servers();
-    // Failure: a list entry of another writer names a service that does not exist and the address of a server that
-    // does. Its later revision would take the address from that server.
+    // Another writer may list an entry with an unknown service and the address of an existing server. If it were not
+    // removed here, its later revision would take the address from that server.
     std::erase_if(servers, [this](auto& server) { return !isServiceKnown(server); });
     std::map<Endpoint, StorePosition> newest;
     for (auto& server : servers)
--- a/src/gateway/control-state.cc
+++ b/src/gateway/control-state.cc
@@ -84,8 +84,9 @@
     if (!hello.loads.empty() && !m_entries.isLocal(hello.sender.dataCentre))
         m_remoteLoads[hello.sender.dataCentre] = { hello.loads, now };
     pullIfBehind(now, hello, effects);
-    // Failure: a whole fleet starts at once and each entry knows the seeds only. Until hellos have spread, every entry
-    // considers itself the first of its data centre, watches the store and receives the status of every rank.
+    // When a whole fleet starts together, each entry knows only the seeds. Without the immediate reply, every entry
+    // would consider itself the first of its data centre until hellos have spread: it would watch the store and receive
+    // the status of every rank.
     if (isNewcomer) {
         auto welcome = withLocalState(now, m_entries.makeWelcome(hello.sender, m_generator));
         welcome.leaving = m_departures.reportsForNewEntry(now);
@@ -108,7 +109,8 @@
     m_minWatchUntil = now + minWatchTime;
     log::write(log::Event::StoreWatchChanged, "watching={}", isNeeded ? "yes" : "no");
     if (!isNeeded) {
-        // From now on the watching peers judge what an outage of the store means.
+        // An entry that does not watch the store can't tell whether the store is reachable. From now on it relies on
+        // the peers that watch the store.
         m_isStoreUnreachable.clear();
         m_servers.onStoreReachable(now);
     }
@@ -262,9 +264,9 @@
 
 void ControlState::updateReadiness(TimePoint now)
 {
-    // Failure: an entry that has just started receives an old configuration from a peer that is itself disconnected
-    // from the store, and serves by it what has been revoked since. The store takes precedence; peers are relied on
-    // only when it doesn't answer.
+    // An entry that has just started relies on its peers only if the store doesn't answer. A peer that is itself
+    // disconnected from the store could send it an old configuration, and the entry would accept keys that have been
+    // revoked since.
     bool mayTrustPeers = m_hasStoreAnswered || now >= m_startupStoreDeadline;
     bool isReady = m_configuration && m_hasServers && mayTrustPeers && !m_isLeaving;
     if (isReady != m_isReady) {
@@ -283,8 +285,9 @@
     if (m_servers.tick(now))
         markServersChanged();
     m_departures.tick(now);
-    // Configuration and server list are both missing right after a start. Agents report their groups to an entry only
-    // after it has sent them a brief.
+    // The first brief is sent as soon as the configuration and the server list are known; both are missing right after
+    // a start. It must not be late, because agents report their groups to an entry only after the entry has sent them a
+    // brief.
     bool knowsServers = m_configuration && m_hasServers;
     bool isBriefDue = knowsServers && now >= std::max(m_nextBriefAt, m_briefNotBefore);
     if (isBriefDue && m_entries.isRelay(now)) {
--- a/src/gateway/control-state.h
+++ b/src/gateway/control-state.h
@@ -71,7 +71,7 @@
     Endpoint from;
     Topic topic { Topic::Configuration };
 };
-/// Start or stop watching the store. The effect that stops it is emitted only once both topics are known.
+/// Start or stop watching the store. Watching is stopped only once both topics are known.
 struct SetWatching {
     bool isOn { false };
 };
@@ -95,8 +95,8 @@
     /// within it that an entry is stopping.
     static constexpr milliseconds helloInterval { 400 };
     static constexpr milliseconds minWatchTime { 3000 };
-    /// Maximum delay until the peers are sent whether the store answers this entry. The delay lets the two topics,
-    /// which change together, share one hello.
+    /// Maximum delay until this entry tells its peers that the store has started or stopped answering it. The two
+    /// topics usually change together, and the delay lets one hello report both.
     static constexpr milliseconds watchChangeHelloDelay { 50 };
     /// A starting entry relies on its peers when the store has not answered for this long. A healthy store answers in
     /// milliseconds, and a store that is down must not keep the fleet from starting.
@@ -107,8 +107,8 @@
     /// by the same brief.
     static constexpr milliseconds newEpochBriefDelay { 40 };
     /// Minimum time from the start of an entry to its first brief. By then the entry has received hellos from the
-    /// others. Without this delay all entries of a large fleet would consider themselves relays of their data centre,
-    /// and every agent would answer all of them.
+    /// others. Without this delay, all entries of a large fleet would consider themselves relays of their data centre
+    /// (the entries that agents report to), and every agent would answer all of them.
     static constexpr milliseconds startupBriefDelay { 150 };
     /// Minimum interval between announcements of closed or slow ranks. The ranks of a group close and open within about
     /// 50 ms.
@@ -129,7 +129,7 @@
     control::Effects apply(TimePoint now, const control::Event& event);
 
     Snapshot snapshot(TimePoint now) const;
-    /// Returns the documents of a topic for pulls by other entries; nothing while none is held.
+    /// Returns the documents of a topic for pulls by other entries; `nullopt` while this entry has none.
     std::optional<PublishedItems> published(Topic topic) const;
 
 private:
@@ -199,8 +199,8 @@
     TimePoint m_nextHelloAt;
     TimePoint m_nextBriefAt;
     RankRegistry m_ranks;
-    /// True while a change of closed or slow ranks has not been announced yet. `m_degradedAnnouncedAt` is the time of
-    /// the last announcement.
+    /// True while a change of closed or slow ranks has not been announced to other entries yet. `m_degradedAnnouncedAt`
+    /// is the time of the last announcement.
     bool m_isDegradedChanged { false };
     TimePoint m_degradedAnnouncedAt;
     std::vector<ServiceLoad> m_ownLoads;
@@ -216,8 +216,8 @@
     ConfigurationVersion m_announcedVersion;
     StorePosition m_announcedServers;
     bool m_isWatching { true };
-    /// An entry that started watching goes on until this time, so that a short silence of its peers does not make it
-    /// list everything twice.
+    /// An entry that has started to watch the store continues until this time. Otherwise it would stop and start again,
+    /// and list everything twice, when its peers are silent for a short time.
     TimePoint m_minWatchUntil;
     bool m_isSnapshotChanged { true };
 };
--- a/src/gateway/departures.h
+++ b/src/gateway/departures.h
@@ -11,9 +11,10 @@
 /// What this entry knows about backend servers that are leaving or gone, from the servers themselves, the list, or
 /// other entries.
 ///
-/// A departure is keyed by server incarnation and takes precedence over the list. That a server is leaving, as reported
-/// by the server itself or by the list, applies for the rest of the incarnation. That its list entry was removed
-/// applies until the server is listed again by a later write: its process may only have been cut off from the store.
+/// A departure is keyed by server incarnation and takes precedence over the list. If the server itself or the list has
+/// reported that the server is leaving, this holds for the rest of the incarnation. If the server's list entry was
+/// removed, this holds only until a later write lists the server again: its process may only have been cut off from the
+/// store.
 ///
 /// Pure: the time is passed in with each call.
 class Departures {
@@ -37,7 +38,7 @@
     };
     using List = std::map<ServerHash, Listed>;
 
-    // Each function returns true if something must be reported to other entries at once.
+    // Each of these functions returns true if something must be reported to other entries immediately.
 
     /// The list has changed and is known up to `knownPosition`. Servers that are missing from it now are gone. A
     /// leaving server that appears as ready again is reported once more, as some entries may not know that it is
@@ -48,7 +49,8 @@
     bool onPeerReport(TimePoint now, const LeavingServer& report);
 
     void onStoreRestored(TimePoint now) { m_copyExpiredAt = now + restoredCopyExpiry; }
-    /// The store is unreachable, so the entries of its copy expire later.
+    /// Call it while the store is unreachable: servers can't renew their list entries, so the outdated entries of a
+    /// restored copy expire later.
     void onStoreUnreachable(TimePoint now);
 
     bool isLeaving(TimePoint now, ServerHash server) const;
@@ -63,7 +65,7 @@
 
 private:
     struct Departure {
-        /// Position of the removal of the server's list entry; unset once the server is known to leave for good.
+        /// Position of the removal of the server's list entry; unset once the server is known to leave permanently.
         std::optional<StorePosition> removedAt;
         TimePoint propagateUntil;
         TimePoint retainUntil;
--- a/src/gateway/dispatcher.cc
+++ b/src/gateway/dispatcher.cc
@@ -13,8 +13,8 @@
 namespace {
 
 /// Retry delay for a client that was refused for lack of capacity, jittered so that clients don't all return at once.
-/// Most bursts last a second or two and have capacity for it again by then, and the delay stays within the third of its
-/// time that a client is ready to wait.
+/// Most bursts last a second or two, so there is usually capacity again by then. The delay is also short enough for the
+/// client: clients wait for at most a third of the time they have left.
 constexpr milliseconds overloadRetryDelay { 500 };
 constexpr milliseconds overloadRetryJitter { 700 };
 /// Time until a service that has no server, or whose groups are all forming, usually serves again. A client that
@@ -211,8 +211,8 @@
     m_queue = std::move(stillQueued);
 }
 
-/// True if, because of limits and back-offs, no server may get the request while it waits, so that it is refused at
-/// once.
+/// True if, because of limits and back-offs, no server may get the request while it waits, so that it is refused
+/// immediately.
 bool Dispatcher::isThrottledTooLong(const Call& call, TimePoint now) const
 {
     auto throttling = m_loadBalancer.throttling(filterFor(call), now);
@@ -229,10 +229,11 @@
     return throttling->isBackingOff ? RefusalReason::BackingOff : RefusalReason::Limited;
 }
 
-/// Extends the wait of requests whose service is re-forming as a whole. All its capacity is about to become free at
-/// once: a client refused now would return in the middle of the rush, while a queued request is served first. The
-/// extended wait stays in force when the first group is back. Otherwise all requests that have waited longer than usual
-/// and find the first server full would be refused at that moment, while the other servers become free.
+/// Extends the wait of requests whose service is re-forming as a whole. All capacity of the service is about to become
+/// free at the same moment. A client refused now would retry in the middle of the rush that follows, while a queued
+/// request is served before the rush. The extended wait stays in force when the first group is back. Otherwise all
+/// requests that have waited longer than usual and find the first server full would be refused at that moment, while
+/// the other servers become free.
 void Dispatcher::extendWaitForFormingGroups(TimePoint now)
 {
     std::map<ServiceName, bool> isForming;
@@ -248,9 +249,10 @@
     }
 }
 
-/// Failure: the machine of one engine among many stalls. The streams there hang until their clients disconnect, new
-/// requests are sent there as its slots become free, and it works for clients that have left when it resumes. If the
-/// attempts are cancelled in time, the streams continue on other servers and their clients stay.
+/// Guards against the stall of a single engine's machine. The engine's streams would hang until their clients
+/// disconnect. The slots of these clients would become free and be given new requests, and when the engine resumes, it
+/// would work for clients that have left. If the attempts are cancelled in time, the streams continue on other servers
+/// and their clients stay.
 void Dispatcher::cancelStalledAttempts(TimePoint now, Effects& effects)
 {
     if (!m_nextStallCheckAt || now < *m_nextStallCheckAt)
@@ -269,8 +271,8 @@
 }
 
 /// True for a stream whose server is silent while others make progress, if another server can take it. A request whose
-/// response has not started may be queued there; it counts only once its server is suspect because of another stream,
-/// at this or another entry.
+/// response has not started may just be waiting in the queue of its server. Such a request counts as stalled only once
+/// the server is suspect because of another stream, of this or another entry.
 bool Dispatcher::isStalled(const Call& call, TimePoint now) const
 {
     auto silenceThreshold = now - m_options.stallTimeout;
@@ -354,9 +356,9 @@
     m_queue.insert(m_queue.begin(), id);
 }
 
-/// Failure: after a power loss groups are forming, and no agent has reported it yet. A request uses up its attempts on
-/// one rank after the other within milliseconds and is refused; most clients retry only once, and the service is back
-/// half a second later.
+/// Guards against refusals right after a power loss, when groups are forming and no agent has reported it yet. A
+/// request would use up its attempts on one rank after the other within milliseconds and be refused, although the
+/// service is back half a second later. Most clients retry only once.
 bool Dispatcher::mayWaitForGroups(const Call& call, AttemptOutcome outcome, TimePoint now) const
 {
     bool isRejected = outcome == AttemptOutcome::NotRun && call.verdict == Verdict::NotRun && call.rankRejections >= m_options.maxRankRejections;
@@ -378,8 +380,8 @@
     bool isSafe = call.request.route->isIdempotent || call.verdict == Verdict::NotRun;
     if (!isSafe || outcome == AttemptOutcome::TimedOut || call.attempts >= m_options.maxAttempts)
         return false;
-    // A server error is mostly caused by the request itself: another server is tried once, the same ones are not tried
-    // again.
+    // A server error is mostly caused by the request itself. The request is therefore retried on another server only:
+    // once it has run on as many servers as the route allows, it is not sent to these again.
     if (outcome == AttemptOutcome::ServerError && call.ranOn.size() >= call.request.route->maximumServers)
         return false;
     return now + minAttemptTime < call.request.deadline;
--- a/src/gateway/dispatcher.h
+++ b/src/gateway/dispatcher.h
@@ -172,25 +172,27 @@
     double queueTimeShare { 0.4 };
     /// Queue time for routes without an objective.
     milliseconds defaultQueueTime { 100 };
-    /// Maximum time that an idempotent request waits for another server after it has lost its own: a rank group that
-    /// lost a rank has either recovered by then or will not soon, and clients give up on a stream that pauses for two
-    /// seconds.
+    /// Maximum time that an idempotent request waits for another server after it has lost its own. A rank group that
+    /// lost a rank has either recovered by then or will not recover soon. Clients give up on a stream that pauses for
+    /// two seconds, so a longer wait is of no use.
     milliseconds recoveryTimeout { 1500 };
     /// Delay before a request is retried on servers that have just lost it: a rank group takes about 600 ms to re-form.
     milliseconds retryDelay { 150 };
     /// A stream without an event for this long is cancelled at its server if other servers of the service make
-    /// progress: clients give up on a stream after two seconds.
+    /// progress. Clients give up on a stream after two seconds, and the stream must have continued on another server by
+    /// then.
     milliseconds stallTimeout { 1000 };
-    /// Number of ranks that may reject a request before it waits for their groups, as it does for groups known to be
-    /// forming.
+    /// Number of ranks that may reject a request before their groups are assumed to be forming and the request waits
+    /// for them.
     unsigned maxRankRejections { 2 };
     /// Maximum attempts of one request, including those that did not run: bounds the load on a service that rejects
     /// everything.
     unsigned maxAttempts { 4 };
 };
 
-/// Returns when a client should retry a service that has no working server, for example right after a power loss: late
-/// enough for the service to have recovered, and within the time that clients wait before `deadline`.
+/// Returns when a client should retry a service that has no working server, for example right after a power loss. The
+/// time is late enough for the service to have recovered, and early enough that a client with this `deadline` still
+/// waits for it.
 TimePoint outageRetryTime(TimePoint now, TimePoint deadline, policy::Generator& generator);
 
 /// The traffic thread's reducer over the requests of one entry: decides which backend server a request is sent to and
@@ -223,7 +225,7 @@
         bool hasResponseStarted { false };
         /// Time of the last data from the current server, or of the send if none has arrived.
         TimePoint lastActivityAt;
-        /// The attempt in progress has been cancelled, and the following retry has already been charged to the retry
+        /// The attempt in progress has been cancelled. The retry that follows has already been charged to the retry
         /// allowance.
         bool isAttemptCancelled { false };
         TimePoint queueDeadline;
--- a/src/gateway/downstream-connection.cc
+++ b/src/gateway/downstream-connection.cc
@@ -133,8 +133,9 @@
     m_stream.socket().close(ec);
 }
 
-/// Failure: if the connection is closed at once and the client has sent more data, the connection is reset. The reset, or
-/// the end of the process, can overtake the last bytes of the response: the client sees a complete response as truncated.
+/// If the connection were closed immediately after the client has sent more data, the connection would be reset. The
+/// reset, or the end of the process, can overtake the last bytes of the response, and the client would see a complete
+/// response as truncated.
 asio::awaitable<void> DownstreamConnection::close()
 {
     boost::system::error_code ec;
--- a/src/gateway/entry-daemon.cc
+++ b/src/gateway/entry-daemon.cc
@@ -86,9 +86,10 @@
     }
 
 private:
-    /// Failure: hundreds of entries start together, and each lists all servers from the store, in several pages. With random
-    /// delays, the first entries list the servers and announce them, and the others pull the list from their neighbours. The
-    /// configuration is a single item and is requested at once, because it must not come from a peer that is cut off.
+    /// Returns a random time for this entry's first listing of the servers. If hundreds of entries start together, each
+    /// would otherwise list all servers from the store, in several pages. With random delays, the first entries list
+    /// the servers and announce them, and the others pull the list from their neighbours. The configuration is a single
+    /// item and is requested immediately, because it must not come from a peer that is cut off from the store.
     static TimePoint initialServerListAt()
     {
         policy::Generator generator(std::random_device {}());
--- a/src/gateway/entry-registry.cc
+++ b/src/gateway/entry-registry.cc
@@ -17,9 +17,9 @@
     auto [it, isNew] = m_peers.try_emplace(member.control, Peer { member, now });
     auto& known = it->second;
     bool isSameIncarnation = known.member.incarnation == member.incarnation;
-    // Failure: after the restart of an entry its peers still pass on reports of the earlier incarnation. An incarnation
-    // is replaced only by one whose report is fresher than all earlier ones: a hello of the entry itself, or a higher
-    // heartbeat of the same incarnation.
+    // After the restart of an entry, its peers still forward reports of the earlier incarnation, and these must not
+    // replace the new one. Of the same incarnation, only a report with a higher heartbeat is applied. A report of
+    // another incarnation gets here only if it is a hello of the entry itself or the known incarnation is silent.
     if (!isNew && isSameIncarnation && member.heartbeat <= known.member.heartbeat)
         return;
     known = { member, now };
@@ -119,8 +119,8 @@
 {
     auto isWatching = [&](auto& it) { return it.second.member.isWatching && it.second.member.state != EntryState::Leaving && isAlive(it.second, now); };
     auto watching = static_cast<std::size_t>(std::count_if(m_peers.begin(), m_peers.end(), isWatching));
-    // Failure: the store rejects the watching entries and serves others. The rejected ones report it in their hellos,
-    // and the others start to watch.
+    // The store may reject the watching entries and still serve others. The rejected entries report this in their
+    // hellos, and others then start to watch.
     return watching < minWatchers || precedingEntries(now) < watchersPerDataCentre;
 }
 
--- a/src/gateway/entry-registry.h
+++ b/src/gateway/entry-registry.h
@@ -19,7 +19,7 @@
     /// were lost, which happens once in a million on a lossy link.
     static constexpr milliseconds silenceTimeout { 1800 };
     /// An entry whose heartbeat has not advanced for this long is removed. The time need not cover a partition of an
-    /// hour, because seeds are contacted forever and entries find each other again through them.
+    /// hour: entries never stop contacting the configured seeds and find each other again through them.
     static constexpr milliseconds removalTimeout { 120'000 };
     /// Replaces `silenceTimeout` for remote entries in a fleet too large for every entry to send hellos to every other.
     /// Their heartbeats arrive indirectly, which takes up to twenty rounds. Clients are sent there only when their own
@@ -34,17 +34,18 @@
     /// control traffic.
     static constexpr std::size_t minRemoteHellosPerRound { 3 };
     static constexpr std::size_t membersPerHello { 12 };
-    /// Members sent at once to an entry that knows few.
+    /// Members sent in one hello to an entry that knows few.
     static constexpr std::size_t membersPerWelcome { 40 };
 
-    /// A pending watch counts as a call to the store, whose rate limits grow more slowly than the fleet. With two
-    /// watchers a data centre, one remains when the other fails.
+    /// Number of entries of a data centre that watch the store. Not every entry does, because a pending watch counts as
+    /// a call to the store, whose rate limits grow more slowly than the fleet. With two watchers, one remains when the
+    /// other fails.
     static constexpr std::size_t watchersPerDataCentre { 2 };
     static constexpr std::size_t minWatchers { 3 };
     /// Entries of a data centre that receive the rank status of agents and pass it on to the other local entries.
     static constexpr std::size_t relaysPerDataCentre { 2 };
     /// Load updates go to all entries while there are at most this many of them, and only to local entries in a larger
-    /// fleet. Sent by 149 entries to all, they filled the links of 40 Mbit/s.
+    /// fleet. When 149 entries sent their updates to all others, the updates filled the links of 40 Mbit/s.
     static constexpr std::size_t maxLoadBroadcastEntries { 30 };
 
     EntryRegistry(EntryMember self, std::vector<Endpoint> seeds);
@@ -55,11 +56,11 @@
     /// True when this entry must watch the platform's store: it is one of the first `watchersPerDataCentre` of its data
     /// centre by address, or fewer than `minWatchers` others report that the store answers them.
     ///
-    /// Views differ, and nothing depends on their agreement: too many watchers cost calls, and too few make all other
-    /// entries watch.
+    /// Entries may know different sets of entries and so disagree about who watches. That does no harm: too many
+    /// watchers cost calls, and too few make all other entries watch.
     bool shouldWatch(TimePoint now) const;
     /// True when agents must send their rank status to this entry: it is one of the first `relaysPerDataCentre` of its
-    /// data centre by address. As with watching, nothing depends on the agreement of views.
+    /// data centre by address. As with watching, it does no harm if entries disagree.
     bool isRelay(TimePoint now) const;
     /// True when load updates are exchanged within the data centre only.
     bool isLoadSharedLocally(TimePoint now) const;
--- a/src/gateway/event-splitter.h
+++ b/src/gateway/event-splitter.h
@@ -17,8 +17,8 @@
 
 /// Splits the bytes of a `text/event-stream` body into complete events.
 ///
-/// Failure: a backend server dies in the middle of an event. If the partial event were forwarded, the client would join it with
-/// the first event of the server that resumes the stream. Only complete events are therefore returned.
+/// Returns only complete events, because a backend server can die in the middle of an event. If the partial event were
+/// forwarded, the client would join it with the first event of the server that resumes the stream.
 class EventSplitter {
 public:
     /// Appends the next bytes and returns the events that they complete.
--- a/src/gateway/load-balancer.cc
+++ b/src/gateway/load-balancer.cc
@@ -13,8 +13,8 @@
 
 /// A server that failed recently is selected only if all others have this much more load.
 constexpr double suspectCost = 1e6;
-/// Puts a slow rank behind all others with capacity, and before servers that failed. Each request on it adds its slow
-/// share to every step of the group, so the streams of all ranks would pause for longer than clients accept.
+/// Puts a slow rank behind all others with capacity, and before servers that failed. Each request on a slow rank
+/// lengthens every step of the whole group, so the streams of all ranks would pause for longer than clients accept.
 constexpr double slowCost = 5e5;
 /// Without load reports, servers of other data centres rank behind all local servers that have capacity: only the
 /// capacity of the local ones is known, and full servers reject requests.
@@ -25,8 +25,9 @@
 constexpr double remoteLoadMargin = 0.5;
 /// Number of prompt tokens equivalent to one more running request, if the engine's traits don't say.
 constexpr double defaultTokensPerRequest = 100;
-/// A running request lengthens each step until it ends; a prompt is processed once. Weighed as time that later arrivals
-/// wait, the step times of a request therefore count for about this many steps.
+/// A running request lengthens each step until it ends; a prompt is processed once. To compare the two by the time that
+/// they make later arrivals wait, the time that a running request adds to one step is counted for about this many
+/// steps.
 constexpr double effectiveSteps = 30;
 
 /// The latest report of each closed or slow rank, from its agent or from another entry.
@@ -222,9 +223,9 @@
     return server.suspectUntil > now ? cost + suspectCost : cost;
 }
 
-/// Failure: right after a power loss engines are listed before their groups have formed and before their agents have
-/// reported. Each request was rejected by four engines within some milliseconds and then refused, and clients retry
-/// only once. Skipping these ranks makes them count as forming, and requests wait for them.
+/// Right after a power loss, engines are listed before their groups have formed and before their agents have reported.
+/// Each request was then rejected by four engines within some milliseconds and refused, and clients retry only once. A
+/// rank that rejects a request is therefore skipped for a while: it counts as forming, and requests wait for it.
 bool LoadBalancer::onRejected(TimePoint now, const ServerIncarnation& incarnation)
 {
     auto it = m_servers.find(incarnation);
@@ -309,8 +310,8 @@
     return counts ? &*server.degradedReport : nullptr;
 }
 
-/// Failure: one engine slows to a third of its speed, and every step of its group takes as long as its own. More load
-/// on it makes the steps longer still.
+/// A slow rank must get less load. If one engine slows to a third of its speed, every step of its group takes as long
+/// as the steps of that engine, and more load on the engine makes them longer still.
 bool LoadBalancer::isSlow(const Server& server, TimePoint now)
 {
     auto* report = currentDegradedReport(server, now);
@@ -324,7 +325,7 @@
 
 bool LoadBalancer::mayReceiveRequests(const Server& server, TimePoint now) const
 {
-    // Failure: a rank is lost, and its whole group rejects requests until it has re-formed.
+    // When a rank is lost, its whole group rejects requests until the group has re-formed.
     auto* report = currentDegradedReport(server, now);
     bool isClosed = report && !report->isOpen;
     bool isTurningAway = server.rejectingUntil > now;
@@ -424,7 +425,8 @@
     };
     std::map<ServiceName, Sum> sums;
     for (auto& [incarnation, server] : m_servers) {
-        // A server that advertises a limit or requests a back-off is idle for a reason other than free capacity.
+        // Servers that advertise a limit or request a back-off are left out: they have little load because they accept
+        // few requests, not because they have free capacity.
         bool isAvailable = mayReceiveRequests(server, now) && !m_limits.limitOf(server.hash) && !isBackingOff(server, now);
         if (server.isRemote || !isAvailable)
             continue;
--- a/src/gateway/load-balancer.h
+++ b/src/gateway/load-balancer.h
@@ -28,7 +28,8 @@
     /// half second.
     static constexpr milliseconds degradedReportLifetime { 1200 };
     /// An engine of a rank group that rejected a request is skipped for this long: either its group is forming, which
-    /// takes about 600 ms and is soon reported by its agent, or it is full for the length of a pass or two.
+    /// takes about 600 ms and is soon reported by its agent, or it is full for the length of one or two passes (a pass
+    /// is the work between two checks of the engine's queue).
     static constexpr milliseconds rejectionBackOff { 150 };
     /// A server that timed out or lost a response is avoided for this long, doubled with each consecutive failure.
     static constexpr milliseconds failureBackOff { 400 };
@@ -56,8 +57,8 @@
     TimePoint lastActivityAt(const ServerIncarnation& incarnation) const;
     /// True if the server recently failed or fell silent, as observed by this entry or reported by another one.
     bool isSuspect(const ServerIncarnation& incarnation, TimePoint now) const;
-    /// True if another server of the service is active, or is idle for this entry and not suspect. The ranks of a group
-    /// stall together, so an idle rank does not count.
+    /// True if another server of the service is active, or is available, not suspect and runs no request of this entry.
+    /// A rank without requests of this entry does not count, because the ranks of a group stall together.
     bool hasActivityElsewhere(const ServiceName& service, const ServerIncarnation& incarnation, TimePoint now) const;
     /// True if another server of the service has capacity and is not suspect.
     bool hasCapacityElsewhere(const ServiceName& service, const ServerIncarnation& incarnation, TimePoint now) const;
@@ -132,7 +133,7 @@
         unsigned failures { 0 };
         TimePoint suspectUntil;
         TimePoint lastActivityAt;
-        /// That the server fell silent is reported to other entries until then.
+        /// Until this time, other entries are told that the server fell silent.
         TimePoint stalledUntil;
         TimePoint rejectingUntil;
         /// The server's process has ended: another server has responded at its address.
@@ -159,7 +160,8 @@
     static bool isCandidate(const Server& server, const ServerFilter& filter);
     bool hasCapacity(const Server& server, const Load& load, TimePoint now) const;
     bool isBackingOff(const Server& server, TimePoint now) const;
-    /// The earliest time at which the server's limit and its back-off let this entry send a request; `now` if at once.
+    /// The earliest time at which the server's limit and its back-off let this entry send a request; `now` if it may
+    /// send immediately.
     TimePoint nextSendTime(const Server& server, TimePoint now) const;
     /// The latest degraded report of the server's rank while it is valid; null otherwise.
     static const Snapshot::DegradedReport* currentDegradedReport(const Server& server, TimePoint now);
--- a/src/gateway/model.h
+++ b/src/gateway/model.h
@@ -107,7 +107,7 @@
 /// One incarnation of a backend server: its id together with the start time of its process. State about a server is
 /// keyed by incarnation, so it is dropped when the process ends.
 ///
-/// Failure: a server restarts under the same id and has lost its state; without the start time, the work, failures and
+/// A server that restarts under the same id has lost its state. Without the start time, the requests, failures and
 /// leaving notices of the ended process would be attributed to the new one.
 struct ServerIncarnation {
     BackendServerId id;
--- a/src/gateway/peer-loads.cc
+++ b/src/gateway/peer-loads.cc
@@ -8,7 +8,8 @@
 {
     expireSilentPeers(now);
     auto& peer = m_peers[update.incarnation];
-    // Failure: datagrams arrive out of order; an older report would bring back load that has ended.
+    // Datagrams can arrive out of order. An older report is ignored, because it would add the load of requests that
+    // have ended since.
     if (update.sequence <= peer.sequence)
         return;
     subtractLoads(peer);
--- a/src/gateway/peer-loads.h
+++ b/src/gateway/peer-loads.h
@@ -16,8 +16,8 @@
 /// needed for every server at every request. Pure: the time is passed in with each call.
 class PeerLoads {
 public:
-    /// Loads reported by another entry are valid for this long. They are reported at least every `reportInterval`; an
-    /// entry that died has no requests any more.
+    /// Loads reported by another entry are valid for this long. An entry with running requests reports its loads at
+    /// least every `reportInterval`. The loads of an entry that died must expire, because it no longer runs requests.
     static constexpr milliseconds reportLifetime { 600 };
     static constexpr milliseconds reportInterval { 150 };
 
--- a/src/gateway/protocol.h
+++ b/src/gateway/protocol.h
@@ -42,7 +42,8 @@
     std::function<ResponseHead(const ResponseFields& fields, TimePoint now)> decodeResponse;
     std::function<Result<std::shared_ptr<const Configuration>>(std::string_view document)> decodeConfiguration;
     std::function<Result<BackendServer>(std::string_view id, std::string_view document)> decodeServer;
-    /// Encodes the list of entries that a client may use. The client may cache the list until `expiresAt`.
+    /// Encodes the directory, the list of entries that a client may use. The client may cache the list until
+    /// `expiresAt`.
     std::function<std::string(const std::vector<Endpoint>& entries, TimePoint expiresAt, TimePoint now)> encodeDirectory;
     /// Encodes the value of the header that tells a refused client when to retry.
     std::function<std::string(TimePoint retryAt, TimePoint now)> encodeRetryAfter;
--- a/src/gateway/pull-schedule.h
+++ b/src/gateway/pull-schedule.h
@@ -17,8 +17,8 @@
     /// the same document by then, and traffic between data centres is expensive.
     static constexpr milliseconds localFirstDelay { 600 };
 
-    /// Call it when an entry has announced a newer document. Returns true when the document must be fetched from that
-    /// entry now; the pull then counts as started.
+    /// Call it when an entry has announced a newer document. Returns true if the document must be fetched from that
+    /// entry now. In this case the pull is recorded as started.
     bool tryBegin(TimePoint now, Topic topic, bool mayWaitForLocal)
     {
         if (mayWaitForLocal && now < m_remoteNewerSince.try_emplace(topic, now).first->second + localFirstDelay)
--- a/src/gateway/rank-registry.cc
+++ b/src/gateway/rank-registry.cc
@@ -20,7 +20,8 @@
 RankRegistry::Change RankRegistry::onStatus(TimePoint now, const RankStatus& status)
 {
     auto it = m_ranks.find(status.address);
-    // Failure: a late datagram about the previous incarnation would close or open a rank that has restarted since.
+    // A late datagram about the previous incarnation is ignored, because it would close or open a rank that has
+    // restarted since.
     bool isOldIncarnation = it != m_ranks.end() && status.startedAt < it->second.status.startedAt;
     if (isOldIncarnation)
         return {};
@@ -39,9 +40,10 @@
     return { isChange || hasGroupOpened, isNewEpoch };
 }
 
-/// Failure: all ranks of a group open at the same moment, and their agents report it over the next tenth of a second.
-/// Until then the first reported rank is the only server with capacity: after a power loss all entries send it all
-/// queued requests, and most are rejected. If one rank is open in a later epoch, all of them are.
+/// If one rank of a group is open in a later epoch than that of `status`, all ranks of the group are open. All ranks
+/// open at the same moment, and their agents report it over the next tenth of a second. If only reported ranks counted,
+/// the first one would be the only server with capacity during this time: after a power loss, all entries would send
+/// all queued requests to it, and most would be rejected.
 bool RankRegistry::isClosed(const RankStatus& status) const
 {
     return !status.isOpen && status.epoch >= m_groups.at(status.group).openEpoch;
--- a/src/gateway/rank-registry.h
+++ b/src/gateway/rank-registry.h
@@ -9,8 +9,9 @@
 
 namespace swiftloft::gateway {
 
-/// The ranks of all groups as known to one entry: from their agents, if they report to this entry, or from the entries
-/// that they report to. Decides which group briefs are sent to agents. Pure: the time is passed in with each call.
+/// The ranks of all groups as known to one entry. A rank's status comes from its agent, if the agent reports to this
+/// entry, or from another entry that the agent reports to. Also decides which group briefs (messages that tell an agent
+/// the addresses of its group) are sent to agents. Pure: the time is passed in with each call.
 ///
 /// Agents report to two entries per data centre, and these forward only which ranks are closed or slow: if every agent
 /// reported to every entry, that traffic alone would exceed an agent's link in a fleet of hundreds.
@@ -18,14 +19,15 @@
 public:
     /// The status of a rank older than this is ignored: its agent is gone or cut off.
     static constexpr milliseconds reportLifetime { 3000 };
-    /// That a rank is closed or slow is forwarded while the agent's status is no older than this; agents repeat it
-    /// every 400 ms.
+    /// A closed or slow rank is reported to other entries while the agent's status is no older than this; agents repeat
+    /// their status every 400 ms.
     static constexpr milliseconds degradedPropagationTime { 1200 };
-    /// An agent that reports that it knows its group gets the brief again after this time, in case a change was lost.
+    /// An agent that already knows its group gets the brief again after this time, in case a brief with a change was
+    /// lost.
     static constexpr milliseconds briefRepeatInterval { 10'000 };
 
-    /// The entries of an agent's own data centre, if they are alive, have sent it the brief of a new group within this
-    /// time.
+    /// Entries of other data centres wait for this time before they send an agent the brief of a new group. By then the
+    /// entries of the agent's own data centre have sent it, if any of them is alive.
     static constexpr milliseconds localBriefTimeout { 1000 };
 
     struct Change {
--- a/src/gateway/request-exchange.cc
+++ b/src/gateway/request-exchange.cc
@@ -58,8 +58,8 @@
 
 asio::awaitable<UpstreamConnectionPtr> RequestServer::acquireConnection(Call& call, const BackendServer& server)
 {
-    // Failure: the server closes an idle connection just as a request is written to it, and it is not known whether the
-    // request ran. A request that must not run twice therefore gets a new connection.
+    // A request that must not run twice gets a new connection. If the server closed an idle connection just as the
+    // request is written to it, it would not be known whether the request ran.
     if (call.route->isIdempotent) {
         if (auto idle = m_pool.takeIdle(server))
             co_return idle;
@@ -123,8 +123,8 @@
             recordBackOff(call, connection->server, head);
             recordLeaving(call, connection->server, head);
         }
-        // Failure: a server sends the response to an earlier request late, where the next response is expected. If it were
-        // forwarded, a client would get the response to another client's request.
+        // A server may send the response to an earlier request late, where the next response is expected. If the late
+        // response were forwarded, a client would get the response to another client's request.
         bool isStray = !head.requestId.empty() && head.requestId != call.head.id;
         if (isStray) {
             log::write(log::Event::StrayAnswer, "id={} server={} answers={}", call.head.id, connection->server.id.value(), head.requestId);
@@ -259,7 +259,8 @@
     co_return AttemptOutcome::Answered;
 }
 
-/// Forwards the events that `bytes` complete. Returns false if they do not follow the last event that the client has.
+/// Forwards the events that `bytes` complete. Returns false if an event does not directly follow the last one that the
+/// client has.
 asio::awaitable<bool> RequestServer::forwardEvents(Call& call, std::string_view bytes)
 {
     std::string out;
@@ -292,7 +293,8 @@
 
 void RequestServer::releaseConnection(UpstreamConnectionPtr connection, const ResponseParser& parser)
 {
-    // Failure: bytes after a complete response belong to no request, and the next request on this connection would get them.
+    // Bytes after a complete response belong to no request. If the connection were reused, the next request on it would
+    // get them.
     bool isClean = parser.is_done() && parser.keep_alive() && !parser.need_eof() && connection->buffer.size() == 0;
     connection->isInUse = !parser.is_done();
     if (!isClean)
--- a/src/gateway/request-server.h
+++ b/src/gateway/request-server.h
@@ -24,7 +24,8 @@
 
     RequestServer(AsyncDispatcher& dispatcher, UpstreamPool& pool, const Protocol& protocol, process::SharedMetrics& metrics, SnapshotSource snapshot);
 
-    /// Responds to `request`. Throws if the client's connection fails. If this returns false, the connection must be closed.
+    /// Responds to `request`. Throws if the client's connection fails. Returns false if the connection must be closed
+    /// afterwards.
     boost::asio::awaitable<bool> serve(DownstreamConnection& client, ClientRequest request);
     /// Responds to a request that could not be read.
     boost::asio::awaitable<void> rejectUnreadable(DownstreamConnection& client, ReadError error);
--- a/src/gateway/retry-allowance.h
+++ b/src/gateway/retry-allowance.h
@@ -15,17 +15,17 @@
     /// Additional retries per window, over all entries.
     double slack { 0 };
     milliseconds window { 10000 };
-    /// Share of the allowance that is used. The rest covers what entries can't observe of each other: windows slide,
-    /// and requests that clients sent but no entry read are not counted.
+    /// Fraction of the allowance that is used. The rest covers what entries can't observe of each other: their windows
+    /// slide independently, and requests that clients sent but no entry read are not counted.
     double margin { 0.7 };
 };
 
-/// One entry's share of the retry budget of all entries.
+/// The part of the fleet's retry budget that one entry may use.
 ///
 /// Guards against retry storms: when a service fails, retries of all requests multiply the load just when there is
-/// least capacity for it. Each entry earns retries by its own requests and takes an equal share of the slack, computed
-/// from the number of entries that may exist rather than of those it sees: otherwise each side of a network partition
-/// would also take the shares of the other side.
+/// least capacity for it. Each entry earns retries by its own requests and gets an equal part of the slack. That part
+/// is computed from the number of entries that may exist, not from the number that the entry sees: otherwise the
+/// entries on each side of a network partition would also use the slack of those on the other side.
 class RetryAllowance {
 public:
     explicit RetryAllowance(const RetryAllowanceOptions& options)
--- a/src/gateway/server-back-offs.h
+++ b/src/gateway/server-back-offs.h
@@ -18,8 +18,9 @@
 public:
     /// Back-off used if the requested one can't be parsed.
     static constexpr milliseconds defaultBackOff { 1000 };
-    /// Each entry extends a back-off by its own fraction of this share of its length, and by at most `maxJitter`: a
-    /// server that has backed off looks idle to all entries at the same moment.
+    /// Each entry extends a back-off by an amount of its own: at most this fraction of the length of the back-off, and
+    /// at most `maxJitter`. A server that has backed off looks idle to all entries at the same moment, and without
+    /// jitter all of them would send requests to it then.
     static constexpr double jitterShare { 0.1 };
     static constexpr milliseconds maxJitter { 500 };
 
--- a/src/gateway/server-limits.cc
+++ b/src/gateway/server-limits.cc
@@ -65,7 +65,8 @@
     if (isFirst) {
         state.permitsUpdatedAt = now;
         state.position = positionOf(server);
-        // If all holders started with no permits, they would all send their first request at the same moment.
+        // The holders start with different numbers of permits. If all of them started with none, they would all send
+        // their first request at the same moment.
         state.permits = std::min(static_cast<double>(state.position) / holderCount(*rate), 1.0);
     }
     updateShare(now, state);
@@ -82,7 +83,7 @@
         if (entry.state == EntryState::Serving)
             add(entry, false);
     }
-    // Failure: a network partition splits the fleet, and each side distributes the whole limit.
+    // In a network partition, each side of the fleet would otherwise distribute the whole limit among its own entries.
     auto maxEntries = std::max(snapshot.maxEntries, m_members.size());
     m_visibleShare = maxEntries > 0 ? static_cast<double>(m_members.size()) / static_cast<double>(maxEntries) : 1;
     if (m_limits.empty())
--- a/src/gateway/server-limits.h
+++ b/src/gateway/server-limits.h
@@ -11,18 +11,19 @@
 
 struct Snapshot;
 
-/// The limits that overloaded backend servers advertise in their responses, and this entry's share of each limit.
+/// The limits that overloaded backend servers advertise in their responses, and this entry's share of each limit: the
+/// part of the limit that this entry may use.
 ///
-/// A limit applies to all entries together, and an entry can't consult the others within a request. So a few *holders*
-/// share each limit equally. Every entry computes the same order of the visible entries from the server's hash; the
-/// holders are the first entries in it. Each holder sends at the rate of its share and accumulates permits for one
-/// request plus one second's worth; the others send nothing. The fewer requests a limit allows, the fewer holders it
-/// has, so that the permits accumulated by all holders stay within a fixed slack.
+/// A limit applies to all entries together, and an entry can't consult the others within a request. So each limit is
+/// divided equally among a few entries, its *holders*. Every entry computes the same order of the visible entries from
+/// the server's hash, and the holders are the first entries in that order. Each holder sends at the rate of its share
+/// and accumulates permits for one request plus one second's worth; the others send nothing. The fewer requests a limit
+/// allows, the fewer holders it has, so that the permits accumulated by all holders stay within a fixed slack.
 ///
 /// The latest limit of a server is sent to the other entries with its age; the newest report wins. If nothing has been
 /// reported about a limit for `probeDelay`, the entries send one probe request each in turn, which shows whether the
-/// limit still applies. Otherwise a limit of zero would never end, nor would a limit whose end an entry was not
-/// informed of.
+/// limit still applies. Without probes, a limit of zero would never end, because no request is sent that could show its
+/// end. Nor would a limit end on an entry that missed the report of its end.
 ///
 /// Pure: the time is passed in with each call.
 class ServerLimits {
@@ -32,12 +33,14 @@
     static constexpr milliseconds probeInterval { 2000 };
     /// A holder accumulates permits for its share of this time, plus one request.
     static constexpr milliseconds burstWindow { 1000 };
-    /// Holders of a limit below one request per second; there is one more for each full request per second.
+    /// Number of holders of a limit below one request per second. There is one more holder for each full request per
+    /// second.
     static constexpr double minHolders { 3 };
     /// A limit, or its end, is reported to other entries for this long after the server advertised it.
     static constexpr milliseconds propagationTime { 10'000 };
     static constexpr milliseconds endPropagationTime { 5000 };
-    /// After this time without a report, another response that confirms the limit is sent to the other entries at once.
+    /// After this time without a report, another response that confirms the limit is sent to the other entries
+    /// immediately.
     static constexpr milliseconds refreshInterval { 1000 };
     /// The limit of an unlisted server is kept for this long: the server list expires while the store is unreachable.
     static constexpr milliseconds unlistedRetention { 30'000 };
@@ -53,11 +56,12 @@
 
     /// Unset if the server advertises no limit.
     std::optional<RequestRate> limitOf(ServerHash server) const;
-    /// The earliest time at which the server's limit lets this entry send; `now` for a server without a limit.
+    /// The earliest time at which the server's limit allows this entry to send a request; `now` for a server without a
+    /// limit.
     TimePoint nextSendTime(TimePoint now, ServerHash server) const;
     void onSend(TimePoint now, ServerHash server);
-    /// The rate that this entry may send on average over all servers with such a limit, if it were divided equally
-    /// between the entries.
+    /// The server's limit divided by the number of entries that may exist. This is the rate at which this entry may
+    /// send, averaged over many servers with the same limit, because each server has other holders.
     double evenShare(ServerHash server) const;
 
     /// Reports to be sent to other entries.
@@ -97,7 +101,7 @@
 
     std::map<ServerHash, LimitState> m_limits;
     std::vector<Member> m_members;
-    /// Visible entries as a share of the entries that may exist.
+    /// Number of visible entries divided by the number of entries that may exist.
     double m_visibleShare { 1 };
     std::uint64_t m_localVersion { 0 };
 };
--- a/src/gateway/server-registry.cc
+++ b/src/gateway/server-registry.cc
@@ -7,8 +7,8 @@
 
 std::optional<TimePoint> ServerRegistry::graceUntil(TimePoint now) const
 {
-    // Failure: the store was down, the heartbeats of running servers had no receiver, and their entries expired. If all
-    // of them were dropped, a service would have no servers while each of them answers.
+    // While the store is down, the heartbeats of running servers are not received, and their entries expire. If all of
+    // these servers were removed, a service would have no servers although each of them still responds.
     if (m_isStoreUnreachable)
         return TimePoint::max();
     if (m_graceUntil && now < *m_graceUntil)
@@ -40,8 +40,8 @@
     return true;
 }
 
-/// Failure: a report of a server's ended incarnation arrives after that of the next one, from a late write or from a
-/// peer that does not know the new one yet. If it were applied, requests would be counted against the state and the
+/// A report of a server's ended incarnation can arrive after that of the next one, from a late write or from a peer
+/// that does not know the new incarnation yet. If it were applied, requests would be counted against the state and the
 /// properties of the dead process.
 bool ServerRegistry::isOldIncarnation(const BackendServer& server) const
 {
@@ -69,7 +69,7 @@
     auto before = std::exchange(m_entries, {});
     for (auto& server : servers) {
         auto it = before.find(server.id);
-        // A peer that does not know the latest incarnation does not replace what is known of it.
+        // What is known of the latest incarnation is kept if the peer does not know that incarnation yet.
         if (isOldIncarnation(server) && it != before.end())
             m_entries.insert(*it);
         else
--- a/src/gateway/server-registry.h
+++ b/src/gateway/server-registry.h
@@ -14,27 +14,27 @@
 /// Pure: the time comes with each call.
 class ServerRegistry {
 public:
-    /// Servers whose entries expired during an outage of the store re-enter the list within about two seconds of its
-    /// end. They stay usable for less than that, so that a server that has really ended gets no requests later than a
-    /// leaving one may.
+    /// A server whose list entry expired during an outage of the store stays usable for this long after the outage.
+    /// Live servers are listed again within about two seconds of its end. The grace period is shorter than that, so
+    /// that a server that has really ended gets no requests later than a leaving server may.
     static constexpr milliseconds expiryGracePeriod { 1800 };
     /// Time for which the start time of a removed server is remembered. It exceeds the time that reports of the server
     /// may lag: the store's history of 20 s plus some seconds in transit.
     static constexpr milliseconds startRetention { 60000 };
 
-    /// Replaces the list by the one that the store returned, as of `position`. An older list than the known one changes
-    /// nothing and returns false.
+    /// Replaces the list by the one that the store returned, as of `position`. Returns false and changes nothing if
+    /// this list is older than the known one.
     bool replaceAll(TimePoint now, StorePosition position, const std::vector<BackendServer>& servers);
     /// Replaces the list by that of another entry, which has determined from its own view of the store which servers
     /// expired and which are gone.
     bool replaceAllFromPeer(StorePosition position, const std::vector<BackendServer>& servers);
     /// Applies the write of one entry, as of `position`.
     bool upsert(StorePosition position, const BackendServer& server);
-    /// Applies the removal of one entry, as of `position`. Returns the incarnation that is gone, or nothing when its
-    /// entry may only have expired.
+    /// Applies the removal of one entry, as of `position`. Returns the incarnation that has ended, or `nullopt` when
+    /// its entry may only have expired.
     std::optional<ServerIncarnation> remove(TimePoint now, StorePosition position, const BackendServerId& id);
-    /// Applies the write of one entry that names no usable server, as of `position`. Returns true when it named one
-    /// before.
+    /// Applies the write of one entry that names no usable server, as of `position`. Returns true if the entry named a
+    /// usable server before.
     bool dropUnreadable(StorePosition position, const BackendServerId& id);
     void advanceTo(StorePosition position);
 
--- a/src/gateway/settings.h
+++ b/src/gateway/settings.h
@@ -37,8 +37,8 @@
     milliseconds stopTimeout { 0 };
     /// Maximum time for which a client may cache the directory of entries.
     milliseconds directoryMaxAge { 0 };
-    /// Minimum number of entries that is assumed for shares of budgets. A larger number counts when more entries are
-    /// seen.
+    /// Minimum number of entries among which budgets, such as that for retries, are divided. When more entries are
+    /// seen, their number is used instead.
     std::size_t minEntries { 1 };
 };
 
@@ -60,10 +60,10 @@
     milliseconds loadHalfLife { 500 };
     /// Minimum part of the time of a pass that a change of the expert map must save.
     double minGain { 0.07 };
-    /// Maximum time for which ranks copy for one change of the expert map. Each rank takes in as many experts as fit,
-    /// at least one. Ranks copy in parallel, so a change takes as long as the rank with the most copies, and passes
-    /// last 15 in 100 longer meanwhile; with uneven experts this delays streams. With a much shorter time, several
-    /// changes follow each shift of demand.
+    /// Maximum time for which ranks copy for one change of the expert map. Each rank copies as many experts as fit into
+    /// this time, at least one. Ranks copy in parallel, so a change takes as long as the rank with the most copies, and
+    /// passes last 15 in 100 longer meanwhile; with uneven experts this delays streams. With a much shorter time, each
+    /// shift of demand needs several changes.
     milliseconds maxCopyTime { 80 };
 };
 
--- a/src/gateway/store-follower.h
+++ b/src/gateway/store-follower.h
@@ -17,16 +17,20 @@
 public:
     using OnEvent = std::function<void(const control::Event&)>;
 
-    /// How long one watch waits. A connection can go silent for good, which shows only when a watch outlasts this time,
-    /// and a configuration must be in force within two seconds of its publication.
+    /// How long one watch waits for a change. A connection whose other end no longer responds is noticed only when a
+    /// watch is not answered in time. A published configuration must be in force within two seconds, so the wait must
+    /// be shorter than that.
     static constexpr milliseconds watchTimeout { 1500 };
-    /// Additional time that a call may take. A healthy store answers in 4 ms, a slow one took up to 250 ms.
+    /// Time that the store may take to answer a call, in addition to the waiting time of a watch. A healthy store
+    /// answers in 4 ms, a slow one took up to 250 ms.
     static constexpr milliseconds answerTimeout { 900 };
-    /// Changes come in bursts, for example when a group of servers starts. Those within this time are fetched together,
-    /// as calls are expensive and a change has seconds to take effect.
+    /// Delay of the next watch after one that returned changes. Changes come in bursts, for example when a group of
+    /// servers starts. The delay lets one call fetch several of them: calls are expensive, and a change has seconds to
+    /// take effect.
     static constexpr milliseconds batchDelay { 40 };
-    /// Back-off after a failed call, doubled up to `maxBackOff`. The whole fleet must not flood a store that is down,
-    /// and the return of the store must be noticed within half a second.
+    /// Back-off after a failed call, doubled up to `maxBackOff`. The back-off keeps the fleet from flooding a store
+    /// that is down. Its maximum is low because entries must notice within half a second that the store is reachable
+    /// again.
     static constexpr milliseconds initialBackOff { 100 };
     static constexpr milliseconds maxBackOff { 400 };
 
@@ -41,8 +45,8 @@
 private:
     boost::asio::awaitable<void> follow(TimePoint notBefore);
     boost::asio::awaitable<void> poll();
-    /// Returns false when the items must be ignored according to `answer`. Throws `Stale` on an answer from before a
-    /// restore of the store.
+    /// Returns true when the cursor's decision `answer` is to apply the items that the store returned, and false when
+    /// they must be ignored. Throws `Stale` when the items are from before a restore of the store.
     bool shouldApply(StoreCursor::Action answer, StoreEra previousEra);
     boost::asio::awaitable<void> backOff();
     boost::asio::awaitable<void> sleepUntil(TimePoint time);
--- a/src/gateway/traffic-server.cc
+++ b/src/gateway/traffic-server.cc
@@ -82,9 +82,9 @@
         client->reset();
     m_ioContext.restart();
     m_ioContext.poll();
-    // Failure: a call that nothing resumes, for example one whose client has sent more data and whose server is silent, is
-    // still suspended here. If it were destroyed with the context, after the tables that it unregisters from, it would access
-    // freed memory: the process never ends, or dies of signal 11.
+    // Some calls are still suspended here because no event resumes them, for example a call whose client has sent more
+    // data and whose server is silent. If such a call were destroyed with the context, after the tables that it
+    // unregisters from, it would access freed memory: the process would never end, or would die of signal 11.
     m_dispatcher.close();
     m_ioContext.shutdown();
 }
@@ -202,8 +202,9 @@
     return response;
 }
 
-/// Entries for a client of this data centre: the local entries, or all entries if fewer than two are local. Clients ask the
-/// nearest entry first, so this data centre is theirs. With two entries, one remains when the other dies.
+/// Entries for a client of this data centre: the local entries, or all entries if fewer than two are local. Clients ask
+/// the nearest entry first, so a client that asks this entry is in the same data centre. At least two entries are
+/// returned, if there are as many, so that one remains when the other dies.
 std::vector<Endpoint> TrafficServer::directoryEntries() const
 {
     std::vector<Endpoint> local;
@@ -244,8 +245,9 @@
     auto now = Clock::now();
     auto& loadBalancer = m_dispatcher.reducer().loadBalancer();
     auto loads = loadBalancer.ownLoads();
-    // Entries in a remote data centre get the load of their servers from their neighbours, and from this entry while it uses
-    // those servers. They get one more update when it stops using them, so that the last report does not remain in effect.
+    // Entries in a remote data centre get the load of their servers from their neighbours, and from this entry while it
+    // uses those servers. When this entry stops using the servers, it sends one more update, so that its last report
+    // does not remain in effect.
     auto used = loadBalancer.dataCentresUsed();
     auto isRecipient = [&](const DataCentreName& dataCentre) { return dataCentre == m_settings.dataCentre || used.contains(dataCentre) || m_remoteRecipients.contains(dataCentre); };
     bool isBusy = !loads.empty();
--- a/src/gateway/upstream-pool.cc
+++ b/src/gateway/upstream-pool.cc
@@ -38,8 +38,9 @@
     m_registry->insert(this);
 }
 
-/// Failure: a client leaves while the server is stalled. If the connection were closed in order, the server would read the
-/// request when it resumes, and run it for nobody. A reset discards the bytes that the server has not read.
+/// Resets a connection whose request is still in progress. If a client disconnects while the server is stalled and the
+/// connection were closed normally, the server would read the request when it resumes, and run it although the client
+/// has left. A reset discards the bytes that the server has not read.
 UpstreamConnection::~UpstreamConnection()
 {
     m_registry->erase(this);
@@ -100,8 +101,8 @@
     co_spawn(m_ioContext, watchIdleConnection(server, m_lastNumber), asio::detached);
 }
 
-/// Failure: a server closes an idle connection, or sends unsolicited bytes on it. If the connection were reused, a request
-/// would be lost or get the bytes of another response. An idle connection that becomes readable is therefore closed.
+/// Closes an idle connection when it becomes readable: the server has then closed the connection or sent unsolicited
+/// bytes on it. If the connection were reused, a request would be lost or get the bytes of another response.
 asio::awaitable<void> UpstreamPool::watchIdleConnection(ServerIncarnation server, std::uint64_t number)
 {
     auto& list = m_idle[server];
@@ -152,9 +153,9 @@
     shutDownEndedIncarnations(listed);
 }
 
-/// Failure: a server's process died behind a silent link and was restarted under the same id. Its old connections never report
-/// an error, and requests on them would wait until their deadlines. When the connections are shut down, these requests end at
-/// once as lost, and those that may run again are retried.
+/// If a server's process dies while its link is down and is restarted under the same id, its old connections never
+/// report an error, and requests on them would wait until their deadlines. When the connections are shut down, these
+/// requests end immediately as lost, and those that may run again are retried.
 void UpstreamPool::shutDownEndedIncarnations(const ServerStarts& listed)
 {
     for (auto* connection : *m_openConnections) {
--- a/src/gateway/upstream-pool.h
+++ b/src/gateway/upstream-pool.h
@@ -43,8 +43,9 @@
 /// and `UpstreamPool::maxIdlePerServer` applies.
 std::size_t idleConnectionLimit(std::uint32_t maximum, std::uint32_t slots, std::size_t entries);
 
-/// Pool of idle connections to backend servers. The connections are kept per incarnation of a server, so that a server that
-/// takes over another server's address gets none of them. Belongs to the traffic thread.
+/// Pool of idle connections to backend servers. The connections are kept per incarnation of a server, so that a server
+/// that takes over another server's address is not sent requests on the connections of that other server. Belongs to
+/// the traffic thread.
 class UpstreamPool {
 public:
     /// An idle connection is closed after this long, well before servers usually close it.
--- a/test/back-off-rule.h
+++ b/test/back-off-rule.h
@@ -14,18 +14,18 @@
 /// Checks one backend server that requests back-offs from entries, from the traffic on its sockets.
 ///
 /// The rule: from `bindsAfter` after the server has requested a back-off from an entry until the end of the back-off,
-/// it receives no more than `allowed` requests from that entry. Each such response is checked separately. An entry that
-/// was restarted, stalled or disconnected in the meantime is not checked.
+/// it receives no more than `allowed` requests from that entry. Each response that requests a back-off is checked
+/// separately. An entry that was restarted, stalled or disconnected in the meantime is not checked.
 class BackOffRule {
 public:
     static constexpr milliseconds bindsAfter { 500 };
     static constexpr int allowed { 2 };
 
-    /// The server responds to the entry with a request for a back-off until then.
+    /// The server responds to the entry and requests a back-off until the time `until`.
     void onRequested(TimePoint now, int entry, TimePoint until) { m_backOffs[entry].push_back({ now, until }); }
     /// The entry was restarted, is stalled or is disconnected; call at both the start and the end.
     void onExempted(int entry) { m_backOffs.erase(entry); }
-    /// Another server takes its place.
+    /// Another server takes the place of the checked one.
     void onReplaced() { m_backOffs.clear(); }
     void onArrival(TimePoint now, int entry)
     {
--- a/test/control-state_test.cc
+++ b/test/control-state_test.cc
@@ -97,8 +97,8 @@
     CHECK(rig.state.snapshot(rig.now).isReady);
 }
 
-// An entry starts while the store rejects one of its peers. What this peer holds has been revoked since. If the entry
-// served by it, a client's revoked key would work again.
+// An entry starts while the store rejects one of its peers. A key in the configuration that this peer holds has been
+// revoked since. If the entry used this configuration, the revoked key would work again.
 TEST_CASE("ControlState: a starting entry relies on its peers only when the store does not answer")
 {
     Rig rig;
@@ -111,7 +111,7 @@
 }
 
 // The store's answer to an earlier read arrives after a newer configuration came from a peer. If it were applied, it
-// would bring back removed routes and keys.
+// would restore removed routes and keys.
 TEST_CASE("ControlState: no older configuration replaces a newer one, whatever its source")
 {
     Rig rig;
@@ -294,8 +294,8 @@
     CHECK(idsInUse() == std::vector<std::string> { "a-new@3", "b@4" });
 }
 
-// Another writer lists something at the address of a working server, under a service that does not exist. Its later
-// revision would give it the address, and the server would get no more requests.
+// Another writer lists an entry with the address of a working server and a service that does not exist. The later
+// revision of that entry would give it the address, and the server would get no more requests.
 TEST_CASE("ControlState: a list entry of an unknown service takes no address from a server")
 {
     Rig rig;
@@ -324,8 +324,8 @@
     CHECK(snapshot.servers[0].state == ServerState::Ready);
 }
 
-// A server was draining, ended and started again under its id. Entries still pass on the report that it leaves. If it
-// applied to the new process, the server would be idle for six seconds.
+// A server was draining, ended and started again under its id. Entries still pass on the report that it leaves. If the
+// report applied to the new process, the server would be idle for six seconds.
 TEST_CASE("ControlState: the report that a server leaves ends with the incarnation that it is about")
 {
     Rig rig;
@@ -358,8 +358,8 @@
     CHECK(rig.state.published(Topic::Servers)->items.at(0).document == "ready from 2000");
 }
 
-// A datagram of the agent reports that the rank's group is broken. It was sent before the engine started again and
-// arrives after the report that the new one is open.
+// A datagram of the agent reports that the rank's group is broken. The datagram was sent before the engine restarted,
+// and arrives after the report that the rank of the new engine is open.
 TEST_CASE("ControlState: the status of a rank of an ended incarnation changes nothing")
 {
     Rig rig;
@@ -389,8 +389,8 @@
     CHECK(rig.count<SendBrief>() == 0);
 }
 
-// Data centres exchange the load of their servers. A report of one that has been disconnected since must not attract
-// requests to it for good.
+// Data centres exchange the load of their servers. If a data centre is disconnected after its report, the report must
+// not attract requests to it permanently.
 TEST_CASE("ControlState: the load reported by another data centre counts for a limited time")
 {
     Rig rig;
@@ -409,8 +409,8 @@
     CHECK(rig.state.snapshot(rig.now + ControlState::remoteLoadLifetime).remoteLoads.empty());
 }
 
-// Failure: changes in the store after its restore from an older copy are ignored as old, and leaving servers continue
-// to get requests.
+// Guards against this failure: changes in the store after its restore from an older copy are ignored as old, and
+// leaving servers continue to get requests.
 TEST_CASE("ControlState: a server that leaves after the store is restored from an older copy gets no requests")
 {
     auto state = GENERATE("gone", "draining");
@@ -431,8 +431,8 @@
     CHECK(std::none_of(servers.begin(), servers.end(), isReady));
 }
 
-// Failure: an entry that does not watch the store ignores the list of one that knows of the restore, as older than its
-// own list.
+// Guards against this failure: an entry that does not watch the store ignores the list of an entry that knows of the
+// restore, because it takes that list for older than its own.
 TEST_CASE("ControlState: the list of a later era is pulled, whatever its revision")
 {
     Rig rig;
@@ -451,7 +451,8 @@
     CHECK(rig.state.snapshot(rig.now).servers.size() == 1);
 }
 
-// Failure: an address stays with the server that had it before the restore, by a higher revision of an earlier era.
+// Guards against this failure: an address stays with the server that had it before the restore of the store, because
+// that server was listed with a higher revision of an earlier era.
 TEST_CASE("ControlState: an address belongs to the server that was listed there in the latest era")
 {
     Rig rig;
@@ -463,8 +464,8 @@
     CHECK(servers[0].id == BackendServerId("new@5"));
 }
 
-// Failure: after the restore the operator's newest configuration is missing for a moment, and an older one is applied
-// instead.
+// Guards against this failure: after the restore the operator's newest configuration is missing for a moment, and an
+// older one is applied instead.
 TEST_CASE("ControlState: no configuration reverts when the store is restored from an older copy")
 {
     Rig rig;
@@ -475,8 +476,8 @@
     CHECK(rig.version() == 10);
 }
 
-// Failure: a server has reported to one entry that it leaves, and the other entries learn of it from the list only, or
-// not at all.
+// Guards against this failure: a server has reported to one entry that it leaves, and the other entries learn of it
+// from the list only, or not at all.
 TEST_CASE("ControlState: the report of a server that it leaves is sent to all entries at once")
 {
     Rig rig;
--- a/test/departures_test.cc
+++ b/test/departures_test.cc
@@ -24,8 +24,8 @@
 
 } // namespace
 
-// Failure: the change of the list does not arrive, the report of another entry expires, and the server gets requests
-// again.
+// Guards against this failure: the change of the list does not arrive, the report of another entry expires, and the
+// server gets requests again.
 TEST_CASE("Departures: a departure applies as long as the list shows the server as ready")
 {
     auto removedAt = GENERATE(std::optional<StorePosition>(), std::optional<StorePosition>(at(20)));
@@ -46,7 +46,8 @@
     CHECK(departures.isEmpty());
 }
 
-// Failure: a server was cut off from the store, its list entry expired, it has written again, and it stays idle.
+// Guards against this failure: a server was cut off from the store and its list entry expired. The server has written
+// its entry again and still gets no requests.
 TEST_CASE("Departures: a server whose entry was removed is back once a later write lists it")
 {
     auto departures = listing(at(6));
@@ -61,7 +62,8 @@
     CHECK_FALSE(departures.isLeaving(start, server));
 }
 
-// Failure: the store is restored from a copy that shows a server as ready which has since reported that it is leaving.
+// Guards against this failure: the store is restored from a copy that shows a server as ready which has since reported
+// that it is leaving.
 TEST_CASE("Departures: no list brings back a server that has reported that it is leaving")
 {
     auto departures = listing(at(6));
@@ -74,8 +76,8 @@
     CHECK(departures.isLeaving(start + seconds(30), server));
 }
 
-// Failure: the store is restored from a copy that lists a server whose entry had been removed, and the server gets
-// requests again.
+// Guards against this failure: the store is restored from a copy that lists a server whose entry had been removed, and
+// the server gets requests again.
 TEST_CASE("Departures: a list entry from an older copy does not bring a server back")
 {
     auto departures = listing(at(6));
@@ -91,8 +93,8 @@
     CHECK_FALSE(departures.isLeaving(start + seconds(5) + Departures::restoredCopyExpiry, server));
 }
 
-// Failure: a server was missing from the list, the store is restored from a copy that contains it, and it gets requests
-// again.
+// Guards against this failure: a server was missing from the list, the store is restored from a copy that contains it,
+// and it gets requests again.
 TEST_CASE("Departures: a server that is missing from the list is gone, and no copy brings it back")
 {
     auto departures = listing(at(6));
@@ -107,8 +109,8 @@
     CHECK(departures.reports(later).size() == 1);
 }
 
-// Failure: an entry takes the list from one that still waits for servers whose entries expired, and is not informed
-// when that wait ends.
+// Guards against this failure: an entry takes the list from one that still waits for servers whose entries expired, and
+// is not informed when the other entry stops waiting.
 TEST_CASE("Departures: a missing server is reported, but not at once")
 {
     auto departures = listing(at(6));
@@ -117,7 +119,8 @@
     CHECK(departures.reports(start)[0].removedAt == at(20));
 }
 
-// Failure: the list entries of thousands of servers expire at once, and the reports exceed the size of a datagram.
+// Guards against this failure: the list entries of thousands of servers expire at once, and the reports exceed the size
+// of a datagram.
 TEST_CASE("Departures: the number of reports in a message is limited")
 {
     Departures departures;
--- a/test/dispatcher_test.cc
+++ b/test/dispatcher_test.cc
@@ -100,8 +100,8 @@
     CHECK(rig.end(1, AttemptOutcome::Answered).empty());
 }
 
-// Failure: a draft is sent to the ward twice, because the first server ran the request, its response was lost, and the
-// entry sent the request to another server.
+// Guards against this failure: a draft is sent to the ward twice, because the first server ran the request, its
+// response was lost, and the entry sent the request to another server.
 TEST_CASE("Dispatcher: a non-idempotent request is never sent again once it may have run")
 {
     Rig rig({ Rig::server("s1"), Rig::server("s2") }, 5, false);
@@ -125,8 +125,8 @@
     CHECK_FALSE(rig.sentTo(1).empty());
 }
 
-// Failure: a request that crashes every server that runs it takes down a service, because it is tried on one after the
-// other.
+// Guards against this failure: a request that crashes every server that runs it takes down a service, because it is
+// tried on one after the other.
 TEST_CASE("Dispatcher: a request runs on as many servers as its route allows and no more")
 {
     Rig rig({ Rig::server("s1"), Rig::server("s2"), Rig::server("s3"), Rig::server("s4") }, 2);
@@ -140,8 +140,8 @@
     CHECK((third.empty() || third == first || third == second));
 }
 
-// Failure: one request in seven fails on every server. Tried four times each, these requests use up the retry budget of
-// all others.
+// Guards against this failure: one request in seven fails on every server. Tried four times each, these requests use up
+// the retry budget of all others.
 TEST_CASE("Dispatcher: a request is not sent again to servers that responded with an error")
 {
     Rig rig({ Rig::server("s1"), Rig::server("s2") }, 2);
@@ -162,8 +162,8 @@
     CHECK(std::holds_alternative<ForwardError>(rig.last[0]));
 }
 
-// Failure: at peak load all slots are taken and a client is kept waiting until its deadline. A client that is refused
-// early can return in time.
+// Guards against this failure: at peak load all slots are taken and a client is kept waiting until its deadline. A
+// client that is refused early can return in time.
 TEST_CASE("Dispatcher: without capacity a request waits for a share of its objective, then is refused with a retry time")
 {
     Rig rig({ Rig::server("s1", 1) });
@@ -214,8 +214,8 @@
     CHECK(rig.refusal(1)->retryAt.has_value());
 }
 
-// Failure: a rank dies and its group cuts all streams; the group has re-formed a second later. If they were given up at
-// once, all streams would be lost although there was time to resume them.
+// Guards against this failure: a rank dies and its group cuts all streams; the group has re-formed a second later. If
+// the streams were given up immediately, all of them would be lost although there was time to resume them.
 TEST_CASE("Dispatcher: a stream that lost its server waits for one that can resume it")
 {
     Rig rig({ Rig::server("s1") }, 2);
@@ -243,7 +243,7 @@
     CHECK(rig.refusal(1)->verdict == Verdict::MayHaveRun);
 }
 
-// Failure: all attempts fail, and retries of all requests double the load that caused the failures.
+// Guards against this failure: all attempts fail, and retries of all requests double the load that caused the failures.
 TEST_CASE("Dispatcher: retries end when the budget is spent")
 {
     Rig rig({ Rig::server("s1", 100), Rig::server("s2", 100) });
@@ -276,8 +276,8 @@
     CHECK(sent < 480);
 }
 
-// Failure: all racks have lost power and the service has no server for two seconds. Clients told to retry after half a
-// second are refused a second time, and that was their last attempt.
+// Guards against this failure: all racks have lost power and the service has no server for two seconds. Clients told to
+// retry after half a second are refused a second time, and that was their last attempt.
 TEST_CASE("Dispatcher: during an outage clients get a retry time when the service may be back, within their maximum wait")
 {
     Rig rig({});
@@ -293,9 +293,9 @@
     CHECK(*rig.refusal(2)->retryAt - rig.now <= milliseconds(180));
 }
 
-// Failure: after a power loss in all racks the engines are listed and accept connections, but their groups take another
-// half a second to form, and no agent has reported yet. Requests were rejected by four engines within some milliseconds
-// and refused; their clients retried once, with the same result, and were lost.
+// Guards against this failure: after a power loss in all racks the engines are listed and accept connections, but their
+// groups take another half a second to form, and no agent has reported yet. Requests were rejected by four engines
+// within some milliseconds and refused; their clients retried once, with the same result, and were lost.
 TEST_CASE("Dispatcher: requests rejected by forming ranks wait for them, even without a report from an agent")
 {
     Rig rig({});
@@ -366,9 +366,10 @@
     CHECK(rig.now <= start + DispatcherOptions().recoveryTimeout + milliseconds(200));
 }
 
-// Failure: all groups have re-formed after a power loss. The first rank reported to an entry has eight slots, and
-// twenty requests have waited longer than the normal queue time. The other ranks open a tenth of a second later;
-// requests that did not fit on the first were refused in between, and retried into the rush or not at all.
+// Guards against this failure: all groups have re-formed after a power loss. The first rank reported to an entry has
+// eight slots, and twenty requests have waited longer than the normal queue time. The other ranks open a tenth of a
+// second later; requests that did not fit on the first were refused in between, and retried into the rush or not at
+// all.
 TEST_CASE("Dispatcher: requests that waited for forming groups stay queued when the first server is full")
 {
     Rig rig({});
@@ -411,8 +412,8 @@
     CHECK(sent == requests);
 }
 
-// Failure: ranks that request a back-off are mistaken for a group that is forming, and a request is retried there until
-// its time is up.
+// Guards against this failure: ranks that request a back-off are mistaken for a group that is forming, and a request is
+// retried there until its time is up.
 TEST_CASE("Dispatcher: a request whose servers have all requested back-offs is refused at once")
 {
     Rig rig({});
@@ -433,8 +434,8 @@
     CHECK(rig.refusal(2)->verdict == Verdict::NotRun);
 }
 
-// Failure: a request may run again only on the server where it has run; that server has requested a back-off, and the
-// request stays queued although it can't be served.
+// Guards against this failure: a request may run again only on the server where it has run; that server has requested a
+// back-off, and the request stays queued although it can't be served.
 TEST_CASE("Dispatcher: a request bound to a server in back-off is refused at once")
 {
     Rig rig({ Rig::server("s1"), Rig::server("s2") }, 1);
@@ -446,7 +447,8 @@
     CHECK(rig.refusal(1)->verdict == Verdict::MayHaveRun);
 }
 
-// Failure: the list expires during a server's back-off, and the server's return to the list ends the back-off.
+// Guards against this failure: the list expires during a server's back-off, and the server's return to the list ends
+// the back-off.
 TEST_CASE("Dispatcher: a back-off outlasts the server's absence from the list, and ends with its incarnation")
 {
     Rig rig({ Rig::server("s1") });
@@ -464,7 +466,7 @@
     CHECK(rig.sentTo(3) == "s1");
 }
 
-// Failure: a queued request is sent to the server before its back-off is over, or never.
+// Guards against this failure: a queued request is sent to the server before its back-off is over, or never.
 TEST_CASE("Dispatcher: a request waits for a back-off that ends in time")
 {
     Rig rig({ Rig::server("s1") });
@@ -481,8 +483,8 @@
     CHECK(rig.sentTo(2) == "s1");
 }
 
-// Failure: a server reports in its responses that it is leaving, the list does not show it yet, and the server
-// continues to get requests.
+// Guards against this failure: a server reports in its responses that it is leaving, the list does not show it yet, and
+// the server continues to get requests.
 TEST_CASE("Dispatcher: a server that reports that it is leaving gets no new requests, and its running ones continue")
 {
     Rig rig({ Rig::server("s1"), Rig::server("s2") });
@@ -505,8 +507,8 @@
     CHECK(rig.refusal(9)->reason == RefusalReason::NoServer);
 }
 
-// Failure: a request may run again only on the server where it has run; that server is leaving, and the request stays
-// queued although it can't be served.
+// Guards against this failure: a request may run again only on the server where it has run; that server is leaving, and
+// the request stays queued although it can't be served.
 TEST_CASE("Dispatcher: a request bound to a leaving server is refused at once")
 {
     Rig rig({ Rig::server("s1"), Rig::server("s2") }, 1);
--- a/test/entry-registry_test.cc
+++ b/test/entry-registry_test.cc
@@ -176,8 +176,8 @@
     }
 }
 
-// Agents sent their rank status to each of 149 entries. Two entries a data centre are enough; when these die, the next
-// two replace them without any message.
+// Agents sent their rank status to each of 149 entries. Two entries per data centre are enough. When these die, the
+// next two replace them, and no message is needed for this.
 TEST_CASE("EntryRegistry: the first two entries of a data centre are its relays, and the next ones when those are silent")
 {
     EntryRegistry registry(memberIn(13, 5), {});
@@ -191,8 +191,8 @@
     CHECK(registry.isRelay(start + EntryRegistry::silenceTimeout));
 }
 
-// A fleet of hundreds of entries that all watch the store would use up its read limit. The first two of a data centre
-// watch for the others, and the others start when the store answers too few.
+// A fleet of hundreds of entries that all watch the store would use up its read limit. The first two entries of a data
+// centre watch for the others, and the others start to watch when the store answers too few entries.
 TEST_CASE("EntryRegistry: two entries of a data centre watch the store, more when those can't")
 {
     EntryRegistry registry(member(9), {});
--- a/test/event-splitter_test.cc
+++ b/test/event-splitter_test.cc
@@ -31,8 +31,8 @@
     CHECK(splitter.hasPartialEvent());
 }
 
-// Failure: a server dies in the middle of an event and another server resumes the stream with a complete event. If the two were
-// joined, the client would read one event made of two runs.
+// Guards against this failure: a server dies in the middle of an event and another server resumes the stream with a
+// complete event. If the two were joined, the client would read one event made of two runs.
 TEST_CASE("EventSplitter: half an event is dropped when another server goes on")
 {
     EventSplitter splitter;
--- a/test/gateway-fleet.h
+++ b/test/gateway-fleet.h
@@ -23,7 +23,7 @@
     double demand { 56 };
     /// Number of entries that may exist, as configured.
     std::size_t maxEntries { 9 };
-    /// Share of the datagrams that are lost.
+    /// Fraction of the datagrams that is lost.
     double loss { 0 };
     std::uint64_t seed { 1 };
 };
@@ -147,7 +147,7 @@
     struct Refusal {
         /// Time from the arrival to the refusal.
         milliseconds queuedFor { 0 };
-        /// Time from the refusal to its retry time; zero if it has none.
+        /// Time from the refusal to the retry time that it names; zero if it names none.
         milliseconds retryAfter { 0 };
     };
     const std::vector<Refusal>& refusals() const { return m_refusals; }
--- a/test/large-fleet_test.cc
+++ b/test/large-fleet_test.cc
@@ -274,8 +274,8 @@
     CHECK(fleet.entriesKnowing(71) == 0);
 }
 
-// The two entries of a data centre that agents report to lose power together. Nobody announces it. The next two replace
-// them when hellos stop arriving, and agents report to those from then on.
+// The two entries of a data centre that agents report to lose power together. No message announces this. The next two
+// entries replace them when their hellos stop arriving, and agents report to these from then on.
 TEST_CASE("Large fleet: other entries replace those that agents report to")
 {
     Fleet fleet;
--- a/test/limit-rule.h
+++ b/test/limit-rule.h
@@ -16,9 +16,10 @@
 /// Checks one backend server that advertises a limit, from the traffic on its sockets and those of the clients.
 ///
 /// The rule: from `bindsAfter` after a server first advertised its limit, it receives in no `window` more than `factor`
-/// times what the limit allows there, plus `slack` requests. Counted are the requests since it advertised the limit,
-/// from entries that forwarded such a response at least `propagationTime` ago. An entry that was restarted, stalled or
-/// disconnected is not counted, even if that was up to `bindsAfter` before the limit was advertised.
+/// times what the limit allows there, plus `slack` requests. Only these requests are counted: those since the server
+/// advertised the limit, from entries that forwarded a response with the limit at least `propagationTime` ago. An entry
+/// that was restarted, stalled or disconnected is not counted, even if that was up to `bindsAfter` before the limit was
+/// advertised.
 class LimitRule {
 public:
     static constexpr milliseconds bindsAfter { 3000 };
--- a/test/list-fleet.h
+++ b/test/list-fleet.h
@@ -163,7 +163,7 @@
         if (!isStoreUnreachable())
             m_store.write(gateway::Topic::Configuration, "", std::to_string(++m_version));
     }
-    /// The store is unreachable for `away` and then restored to its state of `ago` before now.
+    /// The store is unreachable for `away`. Afterwards it is restored to the state that it had `ago` before this call.
     void restoreStore(milliseconds ago, milliseconds away)
     {
         m_storeUnreachableUntil = m_now + away;
@@ -197,8 +197,8 @@
 
     /// Description of the first violation; empty while there is none.
     const std::string& violation() const { return m_violation; }
-    /// Returns what has not recovered: an entry that doesn't show a live server as ready, or lacks the newest
-    /// configuration. For use after a time without disturbances.
+    /// Describes an entry that has not recovered, because it doesn't show a live server as ready or lacks the newest
+    /// configuration; empty if there is none. For use after a time without disturbances.
     std::string recoveryProblem() const
     {
         for (auto& entry : m_entries) {
@@ -218,7 +218,7 @@
         TimePoint nextHeartbeatAt;
         std::optional<TimePoint> leftAt;
         bool isDraining { false };
-        /// It has reported its leaving to one entry only, and not to the list.
+        /// The server has reported to one entry only that it is leaving, and the list does not show this.
         bool isLeavingUnlisted { false };
     };
     struct Entry {
--- a/test/load-balancer_test.cc
+++ b/test/load-balancer_test.cc
@@ -66,8 +66,8 @@
     CHECK(chosen(balancer, start) == "s1");
 }
 
-// Failure: two entries see the same idle server and both send it their next prompts while another server is idle; the
-// loaded rank then slows its whole group. The load of the other entry is known from its report.
+// Guards against this failure: two entries see the same idle server and both send it their next prompts while another
+// server is idle; the loaded rank then slows its whole group. The load of the other entry is known from its report.
 TEST_CASE("LoadBalancer: loads reported by other entries count, for a limited time and in order")
 {
     LoadBalancer balancer;
@@ -82,8 +82,8 @@
     CHECK(chosen(balancer, start + PeerLoads::reportLifetime) == "s1");
 }
 
-// Failure: all instances lost power and came back. The list still contains the ids of the old engines at addresses
-// where new ones respond; each request tried two to four of the old ids and was refused.
+// Guards against this failure: all instances lost power and came back. The list still contains the ids of the old
+// engines at addresses where new ones respond; each request tried two to four of the old ids and was refused.
 TEST_CASE("LoadBalancer: a server whose address belongs to another one gets no more requests")
 {
     LoadBalancer balancer;
@@ -107,8 +107,8 @@
     CHECK(chosen(balancer, start, { incarnation("s2"), incarnation("s3") }) == "none");
 }
 
-// Failure: a rank is lost, and every rank of its group rejects requests until the group has re-formed. Requests sent
-// there use up their attempts within milliseconds.
+// Guards against this failure: a rank is lost, and every rank of its group rejects requests until the group has
+// re-formed. Requests sent there use up their attempts within milliseconds.
 TEST_CASE("LoadBalancer: a group reported as closed gets no requests until its agents stop reporting or report otherwise")
 {
     LoadBalancer balancer;
@@ -126,9 +126,9 @@
     CHECK(chosen(balancer, start) == "s1");
 }
 
-// Failure: a server restarts under the same id while requests of the previous incarnation are still counted and its
-// failures are recent. The new process is idle; if it were avoided because of its predecessor, its half of the capacity
-// would be lost for seconds.
+// Guards against this failure: a server restarts under the same id while requests of the previous incarnation are still
+// counted and its failures are recent. The new process is idle; if it were avoided because of its predecessor, its half
+// of the capacity would be lost for seconds.
 TEST_CASE("LoadBalancer: no state of a server outlives its incarnation")
 {
     LoadBalancer balancer;
@@ -152,9 +152,10 @@
     CHECK(balancer.runningRequests(after.incarnation(), start) == 1);
 }
 
-// Failure: 149 entries that each know the load of a fifth of the fleet share 192 servers. If each sends to whichever
-// server looks idle, one request in eight reaches a server that entries of another data centre have filled, and is
-// rejected. All load on the local servers is known; the others get what these have no capacity for.
+// Guards against this failure: 149 entries that each know the load of a fifth of the fleet share 192 servers. If each
+// sends to whichever server looks idle, one request in eight reaches a server that entries of another data centre have
+// filled, and is rejected. All load on the local servers is known, so these come first, and remote servers get only the
+// requests for which the local ones have no capacity.
 TEST_CASE("LoadBalancer: if load is shared within a data centre, its servers come first while they have capacity")
 {
     LoadBalancer balancer;
@@ -192,9 +193,9 @@
     CHECK(chosen(balancer, start + LoadBalancer::degradedReportLifetime) == "s1");
 }
 
-// Failure: all drafts of a group are late while one of its engines is slow, because each step takes as long as on the
-// slow engine and the entries continue to give it an equal load. The slow rank must get nothing while another rank has
-// capacity, and its share again as soon as its agent reports that it has recovered or stops reporting.
+// Guards against this failure: all drafts of a group are late while one of its engines is slow, because each step takes
+// as long as on the slow engine and the entries continue to give it an equal load. The slow rank must get nothing while
+// another rank has capacity, and its share again as soon as its agent reports that it has recovered or stops reporting.
 TEST_CASE("LoadBalancer: a slow rank gets requests only when no other has capacity")
 {
     LoadBalancer balancer;
@@ -208,7 +209,7 @@
     balancer.onAttemptEnded(incarnation("s2"), { Tokens(9000) }, false);
     CHECK(chosen(balancer, start) == "s2");
     CHECK(chosen(balancer, start + LoadBalancer::degradedReportLifetime) == "s1");
-    // A newer status from its agent ends it.
+    // A newer status from the rank's agent ends the report that it is slow.
     snapshot.ranks = { { { endpoint(1), EngineGroupName("g"), GroupEpoch(1), RankIndex(0), 2, true, 1, ServerStartTime(0), true }, start + milliseconds(5) } };
     snapshot.peerDegradedRanks.clear();
     balancer.setServers(start + milliseconds(5), snapshot);
@@ -221,8 +222,9 @@
     CHECK(chosen(balancer, start + milliseconds(9)) == "s1");
 }
 
-// Failure: one data centre has twice as many clients per server as another. Each entry used only the servers of its own
-// data centre, whose drafts were late, while ranks of the same group in the next data centre were idle.
+// Guards against this failure: one data centre has twice as many clients per server as another. Each entry used only
+// the servers of its own data centre, whose drafts were late, while ranks of the same group in the next data centre
+// were idle.
 TEST_CASE("LoadBalancer: servers of a data centre that reports less load get the excess of the local ones")
 {
     LoadBalancer balancer;
--- a/test/platform-protocol_test.cc
+++ b/test/platform-protocol_test.cc
@@ -73,7 +73,8 @@
     CHECK_FALSE(protocol.decodeRequest(wrong, start).has_value());
 }
 
-// Failure: a client sets another organisation's name in its request, or reads another client's key at the server.
+// Guards against this failure: a client sets another organisation's name in its request, or reads another client's key
+// at the server.
 TEST_CASE("Platform: the server gets the organisation that holds the key, and never the key")
 {
     auto protocol = platform::makeProtocol();
@@ -109,7 +110,7 @@
     CHECK(decode(good).requestId == "abc");
 }
 
-// Failure: a limit is misread, and is then exceeded or keeps a server idle.
+// Guards against this failure: a limit is misread, and is then exceeded or keeps a server idle.
 TEST_CASE("Platform: a limit that a server names is decoded")
 {
     auto decode = [protocol = platform::makeProtocol()](const ResponseFields& it) { return protocol.decodeResponse(it, start); };
@@ -143,7 +144,7 @@
     CHECK(platform::makeProtocol().decodeResponse(fields, start).limit->rate == RequestRate(2));
 }
 
-// Failure: a back-off is misread, and then ends too early or keeps a server idle.
+// Guards against this failure: a back-off is misread, and then ends too early or keeps a server idle.
 TEST_CASE("Platform: a back-off that a server asks for is decoded")
 {
     auto decode = [protocol = platform::makeProtocol()](unsigned status, const std::vector<const char*>& texts) {
@@ -214,8 +215,8 @@
     CHECK(server.startedAt == ServerStartTime(1780000000123));
 }
 
-// Failure: a writer that is not a backend server adds an entry to the list. Requests sent there would be lost, or run by a
-// process that was never meant to get them.
+// Guards against this failure: a writer that is not a backend server adds an entry to the list. Requests sent there
+// would be lost, or run by a process that was never meant to get them.
 TEST_CASE("Platform: an entry of the list that lacks a field, or has one of another type, names no server")
 {
     auto sound = boost::json::parse(serverText).as_object();
@@ -248,8 +249,8 @@
         CHECK_FALSE(platform::decodeServer(id, serverText).has_value());
 }
 
-// Failure: as above, with arbitrary bytes in the list entry. Decoding must only fail as malformed input, and whatever is accepted
-// as a server must have an id, an address and slots.
+// Guards against the same failure with arbitrary bytes in the list entry. Decoding must only fail as malformed input,
+// and whatever is accepted as a server must have an id, an address and slots.
 TEST_CASE("Platform: list entries with arbitrary bytes are rejected or complete")
 {
     std::mt19937 random(11);
@@ -279,7 +280,7 @@
     CHECK(sound > 0);
 }
 
-// Failure: a damaged document in the store stops an entry.
+// Guards against this failure: a damaged document in the store stops an entry.
 TEST_CASE("Platform: damaged documents are decoded or rejected as malformed")
 {
     std::mt19937 random(5);
--- a/test/process/platform-entry_test.cc
+++ b/test/process/platform-entry_test.cc
@@ -99,7 +99,8 @@
     CHECK_THAT(call({ .address = rig.metrics, .target = "/metrics" }).body, Contains("swiftloft_entry_requests_total{service=\"model\",outcome=\"answered\"} 3"));
 }
 
-// Failure: a client sends an invalid request, or more than the configuration allows, and it reaches a backend server.
+// Guards against this failure: a client sends an invalid request, or more than the configuration allows, and it reaches
+// a backend server.
 TEST_CASE("Platform entry: invalid requests are rejected and not forwarded")
 {
     EntryRig rig;
@@ -116,7 +117,7 @@
     CHECK(rig.platform.runs().empty());
 }
 
-// Failure: a stream to a client is truncated when the entry is stopped for an upgrade.
+// Guards against this failure: a stream to a client is truncated when the entry is stopped for an upgrade.
 TEST_CASE("Platform entry: a stream in progress is completed when the entry is stopped")
 {
     EntryRig rig;
@@ -133,9 +134,10 @@
     CHECK_THAT(rig.log(), Contains("ProcessStopped"));
 }
 
-// Failure: an entry that is stopped for an upgrade does not end, and the platform kills it with its remaining requests after the
-// grace period. Requests wait at silent servers and their clients have already sent further requests, so neither connection
-// closes. The waiting coroutines were destroyed after the tables that they unregister from.
+// Guards against this failure: an entry that is stopped for an upgrade does not end, and the platform kills it with its
+// remaining requests after the grace period. Requests wait at silent servers and their clients have already sent
+// further requests, so neither connection closes. The waiting coroutines were destroyed after the tables that they
+// unregister from.
 TEST_CASE("Platform entry: a stopped entry ends in time while requests wait at silent servers")
 {
     EntryRig rig;
@@ -161,7 +163,8 @@
     CHECK_THAT(rig.log(), Contains("ProcessStopped"));
 }
 
-// Failure: the limit in a server's responses is ignored, and an overloaded server gets more requests than it accepts.
+// Guards against this failure: the limit in a server's responses is ignored, and an overloaded server gets more
+// requests than it accepts.
 TEST_CASE("Platform entry: servers get no more than the limits that they name")
 {
     EntryRig rig;
@@ -180,7 +183,7 @@
     CHECK_THAT(rig.log(), Contains("ServerLimitChanged") && Contains("limit=1 source=answer"));
 }
 
-// Failure: a server rejects requests and asks for a back-off, and still gets the next requests.
+// Guards against this failure: a server rejects requests and asks for a back-off, and still gets the next requests.
 TEST_CASE("Platform entry: a server that asks for a back-off gets no requests until it is over")
 {
     EntryRig rig;
@@ -199,8 +202,8 @@
     CHECK_THAT(rig.log(), Contains("ServerRestAsked e1 server=i-1 rest-ms=2"));
 }
 
-// Failure: a server leaves after the store was restored from an older copy. Its removal is taken for an old change, and the server
-// still gets requests.
+// Guards against this failure: a server leaves after the store was restored from an older copy. Its removal is taken
+// for an old change, and the server still gets requests.
 TEST_CASE("Platform entry: a server that leaves after the store was restored from an older copy gets no requests")
 {
     EntryRig rig;
@@ -228,7 +231,8 @@
     CHECK(late == 0);
 }
 
-// Failure: a server reports in its responses that it is leaving, but the list does not show it, and the server still gets requests.
+// Guards against this failure: a server reports in its responses that it is leaving, but the list does not show it, and
+// the server still gets requests.
 TEST_CASE("Platform entry: a server that reports in its responses that it is leaving gets no more requests")
 {
     EntryRig rig;
@@ -250,7 +254,8 @@
     CHECK(late == 0);
 }
 
-// Failure: a late response to an earlier request is discarded together with its report that the server is leaving.
+// Guards against this failure: a late response to an earlier request is discarded together with its report that the
+// server is leaving.
 TEST_CASE("Platform entry: what a stray response reports about its server is applied")
 {
     EntryRig rig;
@@ -264,8 +269,8 @@
     CHECK_THAT(rig.log(), Contains("StrayAnswer") && Contains("ServerSaysLeaving e1 server=i-1"));
 }
 
-// Failure: a server stalls. Its clients leave after two seconds without an event, and the server runs their requests for nobody
-// when it resumes.
+// Guards against this failure: a server stalls. Its clients leave after two seconds without an event, and the server
+// runs their requests for nobody when it resumes.
 TEST_CASE("Platform entry: a stream goes on at another server when its own falls silent")
 {
     EntryRig rig;
@@ -321,8 +326,8 @@
     CHECK_THAT(rig.log(), Contains("entry.ini:17: key 'least-entries' has value 'none'; expected a number from 1 to 100000"));
 }
 
-// Failure: a server drops the response to a request that must not run twice, another request is refused because all servers are
-// full, and the ids and the log do not explain why.
+// Guards against this failure: a server drops the response to a request that must not run twice, another request is
+// refused because all servers are full, and the ids and the log do not explain why.
 TEST_CASE("Platform entry: a failed request is explained from its id")
 {
     EntryRig rig;
--- a/test/pull-schedule_test.cc
+++ b/test/pull-schedule_test.cc
@@ -22,8 +22,8 @@
     CHECK(schedule.tryBegin(start + PullSchedule::pullTimeout, Topic::Servers, false));
 }
 
-// 120 entries of four data centres fetched each change of the list from the fifth, whose hello arrived first. A local
-// entry has the change a moment later; where none has it, the remote entry is used after all.
+// 120 entries of four data centres fetched each change of the list from the fifth, whose hello arrived first. Usually a
+// local entry has the change a moment later. If none has, the remote entry is used after the delay.
 TEST_CASE("PullSchedule: a pull from a remote data centre waits for a local entry, but not for good")
 {
     PullSchedule schedule;
--- a/test/rank-registry_test.cc
+++ b/test/rank-registry_test.cc
@@ -23,9 +23,9 @@
 
 } // namespace
 
-// Failure: 149 entries sent each of 192 agents the addresses of its whole group every second, 370 KB per second to an
-// instance with a link of 750 KB per second; map change orders queued behind them, and demand had shifted when they
-// arrived.
+// Guards against this failure: 149 entries sent each of 192 agents the addresses of its whole group every second, 370
+// KB per second to an instance with a link of 750 KB per second; map change orders queued behind them, and demand had
+// shifted when they arrived.
 TEST_CASE("RankRegistry: an agent gets its group's brief when the group changes, and while the agent reports that it does not know it")
 {
     RankRegistry registry;
@@ -47,8 +47,9 @@
     CHECK(registry.nextBrief(later, endpoint(0), traits, true).ranks.size() == 1);
 }
 
-// Failure: a rank is lost and its group rejects requests until it has re-formed. Agents report to two entries of a data
-// centre; an entry that continued to send to the group would have its requests rejected one after the other.
+// Guards against this failure: a rank is lost and its group rejects requests until it has re-formed. Agents report to
+// two entries of a data centre; an entry that continued to send to the group would have its requests rejected one after
+// the other.
 TEST_CASE("RankRegistry: closed ranks are known from another entry's report, as long as their agents report it")
 {
     RankRegistry relay;
@@ -69,8 +70,8 @@
     CHECK(relay.degradedRanks(late).empty());
 }
 
-// Failure: an engine becomes slow. Entries that its agent does not report to continue to send it requests, and every
-// step of the group takes longer; when it has recovered, they leave it idle.
+// Guards against this failure: an engine becomes slow. Entries that its agent does not report to continue to send it
+// requests, and every step of the group takes longer; when it has recovered, they leave it idle.
 TEST_CASE("RankRegistry: slowdown and recovery of a rank are forwarded")
 {
     RankRegistry relay;
@@ -106,9 +107,9 @@
     CHECK(entry.peerDegradedRanks(start + milliseconds(60)).empty());
 }
 
-// Failure: after a power loss the 64 ranks of a group open at the same moment, and their agents report it one after the
-// other. For a tenth of a second the first rank was the only server with capacity for all queued requests of 149
-// entries, and rejected most of them.
+// Guards against this failure: after a power loss the 64 ranks of a group open at the same moment, and their agents
+// report it one after the other. For a tenth of a second the first rank was the only server with capacity for all
+// queued requests of 149 entries, and rejected most of them.
 TEST_CASE("RankRegistry: if one rank of a group is open, all of its ranks are")
 {
     RankRegistry registry;
@@ -124,9 +125,9 @@
     CHECK(registry.degradedRanks(start + milliseconds(90)).size() == 1);
 }
 
-// Failure: all engines come up together. If every entry that an agent reports to sent the brief, each agent would get
-// its group ten times over, and its orders would queue behind that. Entries of other data centres send it only if the
-// local ones have failed.
+// Guards against this failure: all engines come up together. If every entry that an agent reports to sent the brief,
+// each agent would get its group ten times over, and its orders would queue behind that. Entries of other data centres
+// send it only if the local ones have failed.
 TEST_CASE("RankRegistry: an agent of another data centre gets the brief if no local entry has sent it")
 {
     RankRegistry registry;
--- a/test/retry-allowance_test.cc
+++ b/test/retry-allowance_test.cc
@@ -41,8 +41,8 @@
     CHECK(takeAll(retries, start + seconds(11)) == 0);
 }
 
-// Failure: all servers of a service fail at once and each of ten entries retries what it can. If together they send
-// more retries than the budget of the fleet, the retry storm keeps the service down.
+// Guards against this failure: all servers of a service fail at once and each of ten entries retries what it can. If
+// together they send more retries than the budget of the fleet, the retry storm keeps the service down.
 TEST_CASE("RetryAllowance: entries get equal shares of the slack, by the number that may exist")
 {
     auto retries = allowance(0, 88);
--- a/test/server-back-offs_test.cc
+++ b/test/server-back-offs_test.cc
@@ -21,7 +21,8 @@
 
 } // namespace
 
-// Failure: responses arrive out of order, and the back-off requested by one ends with that of another.
+// Guards against this failure: responses arrive out of order, and the back-off requested by one ends with that of
+// another.
 TEST_CASE("Server back-offs: of several back-offs the one that ends last applies")
 {
     auto isLongFirst = GENERATE(true, false);
@@ -42,8 +43,8 @@
     CHECK(backOffs.endOf(server, start) >= start + ServerBackOffs::defaultBackOff);
 }
 
-// Failure: a server's back-off ends, the server looks idle to hundreds of entries at the same moment, and all of them
-// send it their next request.
+// Guards against this failure: a server's back-off ends, the server looks idle to hundreds of entries at the same
+// moment, and all of them send it their next request.
 TEST_CASE("Server back-offs: the same back-off ends at different times on different entries")
 {
     auto backOff = GENERATE(milliseconds(500), milliseconds(3000), milliseconds(3'600'000));
@@ -73,8 +74,8 @@
     CHECK(backOffs.isEmpty());
 }
 
-// Failure: a server that rejects all requests looks idle, attracts most of them, and gets more while it requests a
-// back-off.
+// Guards against this failure: a server that rejects all requests looks idle, attracts most of them, and gets more
+// while it requests a back-off.
 TEST_CASE("Server back-offs: a server gets no requests from an entry from which it requested a back-off")
 {
     auto backOff = GENERATE(milliseconds(700), milliseconds(3000), milliseconds(60'000));
@@ -96,8 +97,8 @@
     CHECK(fleet.served() > 0.97 * fleet.requested() - 200);
 }
 
-// Failure: all servers have requested back-offs, requests stay queued until their time is up, and clients retry too
-// soon or all at the same moment.
+// Guards against this failure: all servers have requested back-offs, requests stay queued until their time is up, and
+// clients retry too soon or all at the same moment.
 TEST_CASE("Server back-offs: a request that no server accepts in time is refused at once, with jittered retry times after the back-off")
 {
     constexpr milliseconds backOff { 3000 };
@@ -122,8 +123,8 @@
     CHECK_THAT(fleet.violation(), Equals(""));
 }
 
-// Failure: servers reject some of their requests, each with a back-off, and the healthy servers are overloaded with the
-// rest.
+// Guards against this failure: servers reject some of their requests, each with a back-off, and the healthy servers are
+// overloaded with the rest.
 TEST_CASE("Server back-offs: servers that reject a share of their requests")
 {
     FleetOptions options;
@@ -144,8 +145,8 @@
     CHECK(fleet.ranAt(3) > 10);
 }
 
-// Failure: entries end, stall, are disconnected or restart while servers have requested back-offs, and lose or miss a
-// back-off.
+// Guards against this failure: entries end, stall, are disconnected or restart while servers have requested back-offs,
+// and lose or miss a back-off.
 TEST_CASE("Server back-offs: back-offs stay in force while entries fail")
 {
     FleetOptions options;
--- a/test/server-limits_test.cc
+++ b/test/server-limits_test.cc
@@ -55,8 +55,8 @@
 
 } // namespace
 
-// Failure: each entry sends as if it were the only one, and an overloaded server gets more than it accepts from all of
-// them together.
+// Guards against this failure: each entry sends as if it were the only one, and an overloaded server gets more than it
+// accepts from all of them together.
 TEST_CASE("Server limits: entries together send no more than the advertised limit")
 {
     auto rate = GENERATE(0.0, 0.5, 1.0, 3.0);
@@ -71,7 +71,8 @@
     CHECK(fleet.served() > 0.97 * fleet.requested() - 200);
 }
 
-// Failure: with more entries than a limit allows requests, one request per entry already exceeds the limit.
+// Guards against this failure: with more entries than a limit allows requests, one request per entry already exceeds
+// the limit.
 TEST_CASE("Server limits: a fleet of 150 entries keeps a limit of few requests")
 {
     auto rate = GENERATE(0.0, 0.1, 1.0, 10.0);
@@ -82,7 +83,8 @@
     CHECK_THAT(fleet.violation(), Equals(""));
 }
 
-// Failure: all servers are overloaded, and an entry with queued requests sends to all of them as soon as it may.
+// Guards against this failure: all servers are overloaded, and an entry with queued requests sends to all of them as
+// soon as it may.
 TEST_CASE("Server limits: all servers of a service advertise limits")
 {
     FleetOptions options;
@@ -106,8 +108,8 @@
         CHECK(fleet.servedIn(n) > 0.5 * fleet.served() * fleet.requestedIn(n) / fleet.requested());
 }
 
-// Failure: a request that can't be served stays queued until its time is up, and its client retries together with all
-// the others.
+// Guards against this failure: a request that can't be served stays queued until its time is up, and its client retries
+// together with all the others.
 TEST_CASE("Server limits: a request that no server may get in time is refused at once, with jittered retry times")
 {
     GatewayFleet fleet({ .servers = 2 });
@@ -130,8 +132,8 @@
     CHECK(times.size() > refusals.size() / 2);
 }
 
-// Failure: a limit changes while it is in force, and permits accumulated under the higher limit are spent under the
-// lower one.
+// Guards against this failure: a limit changes while it is in force, and permits accumulated under the higher limit are
+// spent under the lower one.
 TEST_CASE("Server limits: a limit that changes while it is in force")
 {
     FleetOptions options;
@@ -144,8 +146,8 @@
     CHECK_THAT(fleet.violation(), Equals(""));
 }
 
-// Failure: a limit stays in force after its server has stopped advertising it, because no entry sends a request that
-// would show it.
+// Guards against this failure: a limit stays in force after its server has stopped advertising it, because no entry
+// sends a request that would show it.
 TEST_CASE("Server limits: a limit ends once its server stops advertising it")
 {
     auto rate = GENERATE(0.0, 1.0);
@@ -160,7 +162,7 @@
     CHECK(fleet.ranAt(0) - before > 0.7 * (fleet.ranAt(1) - otherBefore));
 }
 
-// Failure: state of a server's old incarnation keeps requests from the new one.
+// Guards against this failure: state of a server's old incarnation keeps requests from the new one.
 TEST_CASE("Server limits: a restarted server has no limit")
 {
     GatewayFleet fleet({ .servers = 3 });
@@ -173,8 +175,8 @@
     CHECK(fleet.ranAt(0) - before >= 12);
 }
 
-// Failure: entries start, stall, are disconnected or end while a limit is in force, and the remaining ones compute
-// wrong shares.
+// Guards against this failure: entries start, stall, are disconnected or end while a limit is in force, and the
+// remaining ones compute wrong shares.
 TEST_CASE("Server limits: the other entries keep a limit while some fail")
 {
     FleetOptions options;
@@ -208,7 +210,7 @@
     CHECK_THAT(fleet.violation(), Equals(""));
 }
 
-// Failure: a network partition splits the fleet in two, and each half distributes the whole limit.
+// Guards against this failure: a network partition splits the fleet in two, and each half distributes the whole limit.
 TEST_CASE("Server limits: the halves of a split fleet send no more than their shares")
 {
     std::vector<ServerLimits> entries(8);
@@ -230,8 +232,8 @@
     CHECK(sent >= 16 * 4 * 0.9);
 }
 
-// Failure: a server advertises a limit, and a response without one, to an earlier request on another connection,
-// arrives after it.
+// Guards against this failure: a server advertises a limit, and a response without one, to an earlier request on
+// another connection, arrives after it.
 TEST_CASE("Server limits: only the response to a later request ends a limit")
 {
     auto limits = singleEntryLimits();
@@ -243,7 +245,7 @@
     CHECK(limits.nextSendTime(start + milliseconds(400), server) == start + milliseconds(400));
 }
 
-// Failure: an entry forwards an old report after the server has advertised something newer.
+// Guards against this failure: an entry forwards an old report after the server has advertised something newer.
 TEST_CASE("Server limits: the newest report of a server counts, whichever entry sends it")
 {
     auto limits = singleEntryLimits();
@@ -277,7 +279,8 @@
     CHECK(limits.nextSendTime(start + seconds(4), server) == start + seconds(4));
 }
 
-// Failure: the server list expires and comes back, and the entry has forgotten the server's limit in the meantime.
+// Guards against this failure: the server list expires and comes back, and the entry has forgotten the server's limit
+// in the meantime.
 TEST_CASE("Server limits: an expired server list does not end a limit")
 {
     auto limits = singleEntryLimits();
--- a/test/server-registry_test.cc
+++ b/test/server-registry_test.cc
@@ -46,7 +46,7 @@
 }
 
 // A server is draining. A second later an entry reads a stale replica of the list that still shows it as ready, and
-// sends it new requests until it ends. They are lost with it.
+// sends new requests to the server until its process ends. These requests are lost.
 TEST_CASE("ServerRegistry: an older list changes nothing")
 {
     ServerRegistry registry;
@@ -58,8 +58,9 @@
     CHECK(registry.servers()[0].state == ServerState::Draining);
 }
 
-// The store is down for six seconds, heartbeats have no receiver and all entries expire. When it is back, the list is
-// empty for a second or two. Entries that applied this list would refuse every request while all servers answer.
+// The store is down for six seconds, heartbeats have no receiver and all entries expire. When the store is reachable
+// again, the list is empty for a second or two. Entries that applied this list would refuse every request while all
+// servers answer.
 TEST_CASE("ServerRegistry: servers that expired during a store outage stay until they can re-enter the list")
 {
     ServerRegistry registry;
@@ -98,8 +99,9 @@
     CHECK(idsOf(registry) == Ids { "b" });
 }
 
-// A write of the ended process reaches the list after that of the next one. If it were applied, the server would count
-// as the ended process. The same holds after the server has left the list, as long as such reports can still arrive.
+// A write of the ended process reaches the list after that of the next one. If this write were applied, the new process
+// would be taken for the ended one. The same holds after the server has left the list, as long as such reports can
+// still arrive.
 TEST_CASE("ServerRegistry: an earlier incarnation never replaces a later one")
 {
     ServerRegistry registry;
@@ -119,8 +121,8 @@
     CHECK(registry.upsert(at(14), earlier));
 }
 
-// Failure: the list of a store that was restored from an older copy is ignored as old, or the servers missing from it
-// are treated as gone.
+// Guards against this failure: the list of a store that was restored from an older copy is ignored as old, or the
+// servers missing from it are treated as gone.
 TEST_CASE("ServerRegistry: after the store is restored from an older copy its list counts, and servers that it lacks may write again")
 {
     ServerRegistry registry;
--- a/test/silent-servers_test.cc
+++ b/test/silent-servers_test.cc
@@ -6,8 +6,8 @@
 using swiftloft::test::FleetOptions;
 using swiftloft::test::GatewayFleet;
 
-// Failure: one engine among many stalls; the clients of its streams disconnect, and it works for clients that have left
-// when it resumes.
+// Guards against this failure: one engine among many stalls; the clients of its streams disconnect, and it works for
+// clients that have left when it resumes.
 TEST_CASE("Silent servers: streams on a stalled server continue on others")
 {
     FleetOptions options;
@@ -20,7 +20,8 @@
     CHECK(fleet.startedAfterDisconnect() == 0);
 }
 
-// Failure: a stalled server looks idle once its clients have disconnected, and gets the next requests.
+// Guards against this failure: a stalled server looks idle once its clients have disconnected, and gets the next
+// requests.
 TEST_CASE("Silent servers: no entry sends new requests to a server that another one reported as silent")
 {
     FleetOptions options;
@@ -34,7 +35,8 @@
     CHECK(fleet.arrivedAt(4) - before == 0);
 }
 
-// Failure: all servers stall, as a suspended group does, and every stream is moved from server to server in vain.
+// Guards against this failure: all servers stall, as a suspended group does, and every stream is moved from server to
+// server in vain.
 TEST_CASE("Silent servers: streams are not moved when all servers stall")
 {
     GatewayFleet fleet({ .servers = 4 });
@@ -49,8 +51,8 @@
     CHECK(fleet.disconnectedClients() == 0);
 }
 
-// Failure: under load, requests that wait long for their first event are moved to other servers, which increases the
-// load.
+// Guards against this failure: under load, requests that wait long for their first event are moved to other servers,
+// which increases the load.
 TEST_CASE("Silent servers: a request whose response has not started stays on a server that makes progress")
 {
     GatewayFleet fleet({ .servers = 3, .demand = 80 });
--- a/test/store-cursor_test.cc
+++ b/test/store-cursor_test.cc
@@ -37,8 +37,8 @@
     CHECK_FALSE(cursor.knownRevision().has_value());
 }
 
-// Failure: a watch continues from a revision of before the restore of the store, and later writes below that revision
-// are never seen.
+// Guards against this failure: a watch continues from a revision of before the restore of the store, and later writes
+// below that revision are never seen.
 TEST_CASE("StoreCursor: a topic is listed again after each restore of the store")
 {
     StoreCursor cursor;
@@ -51,8 +51,8 @@
     CHECK(list(cursor, itemsAt(5, 4)) == Action::Apply);
 }
 
-// Failure: an answer from before the restore arrives late or over another connection, and overwrites what is known of
-// the new era.
+// Guards against this failure: an answer from before the restore arrives late or over another connection, and
+// overwrites what is known of the new era.
 TEST_CASE("StoreCursor: answers from before a restore are ignored")
 {
     StoreCursor cursor;
--- a/test/store-restore_test.cc
+++ b/test/store-restore_test.cc
@@ -39,8 +39,8 @@
 
 } // namespace
 
-// Failure: after a restore of the store a server that has left gets requests, one that is alive gets none, or a
-// configuration reverts.
+// Guards against this failure: after a restore of the store a server that has left gets requests, one that is alive
+// gets none, or a configuration reverts.
 TEST_CASE("Store restore: servers that have left get no requests, and live ones get them, whatever state is restored")
 {
     auto seed = GENERATE(range(1U, 301U));
@@ -59,7 +59,8 @@
     CHECK_THAT(fleet.recoveryProblem(), Equals(""));
 }
 
-// Failure: a server leaves some seconds after the restore, and entries ignore its removal as older than what they know.
+// Guards against this failure: a server leaves some seconds after the restore, and entries ignore its removal as older
+// than what they know.
 TEST_CASE("Store restore: entries know within two seconds of a server that leaves after it")
 {
     auto isDraining = GENERATE(true, false);
--- a/test/upstream-pool_test.cc
+++ b/test/upstream-pool_test.cc
@@ -5,8 +5,8 @@
 using namespace swiftloft;
 using namespace swiftloft::gateway;
 
-// Failure: each entry keeps idle connections as if the server's maximum applied to it alone, and the server resets new
-// connections.
+// Guards against this failure: each entry keeps idle connections as if the server's maximum applied to it alone, and
+// the server resets new connections.
 TEST_CASE("Upstream: idle connections of all entries leave room for running requests")
 {
     auto entries = GENERATE(1U, 7U, 30U, 150U, 670U);
