--- a/src/agent/background-planner.cc
+++ b/src/agent/background-planner.cc
@@ -24,8 +24,8 @@
 constexpr milliseconds maxReportInterval { 30'000 };
 constexpr milliseconds responseTimeout { 1500 };
 constexpr int slowToFastHalfLifeRatio = 8;
-/// Limit of consecutive plans after one load report. The number of predictions in a plan is limited; the next plan
-/// continues where the last one stopped.
+/// Maximum number of consecutive plans after one load report. Each plan is limited to a number of predictions, and the
+/// next plan continues where the last one stopped.
 constexpr int maxPlansPerReport = 40;
 
 std::uint32_t minuteOfDay(std::chrono::minutes utcOffset)
--- a/src/agent/background-planner.h
+++ b/src/agent/background-planner.h
@@ -32,12 +32,12 @@
     BackgroundPlanner(boost::asio::io_context& ioContext, boost::asio::ip::tcp::endpoint engine, OnPlanned onPlanned);
     ~BackgroundPlanner();
 
-    /// Starts a new planner from the map `current`. If a setting is out of range, nothing is planned and the error is
-    /// returned.
+    /// Starts a new planner from the map `current`. If a setting is out of range, no planner is started and the error
+    /// is returned.
     std::optional<Error> start(const settings::GroupSettings& settings, const expertmap::ExpertMap& current);
     void stop();
     bool isActive() const { return m_planner != nullptr; }
-    /// While false, load reports are processed but nothing is planned.
+    /// While this is false, load reports are processed but no map is planned.
     void setMayPlan(bool mayPlan) { m_mayPlan = mayPlan; }
 
 private:
--- a/src/agent/daemon.cc
+++ b/src/agent/daemon.cc
@@ -9,7 +9,8 @@
 namespace {
 
 constexpr milliseconds tickInterval { 100 };
-/// How long after its first use a client's own key can't run again. docs/REFERENCE.md promises this period.
+/// Time after the first use of a client's own key in which no second request runs under the key. docs/REFERENCE.md
+/// promises this period.
 constexpr seconds clientKeyRetention { 120 };
 
 ReducerOptions reducerOptions(const process::ProcessConfig& config, Incarnation incarnation)
--- a/src/agent/engine-connection-pool.h
+++ b/src/agent/engine-connection-pool.h
@@ -17,7 +17,8 @@
     EngineConnectionPool(boost::asio::io_context& ioContext, boost::asio::ip::tcp::endpoint endpoint);
 
     /// Returns a connected stream that expires at `deadline`. With `allowsReuse`, the stream may be an idle one of the
-    /// pool. The engine may just have closed an idle stream, so only a request that may run twice should allow reuse.
+    /// pool. The engine may have closed an idle stream a moment ago, and the request then has to be sent again. Only a
+    /// request that may run twice should therefore allow reuse.
     ///
     /// Throws `boost::system::system_error` when the engine can't be connected to.
     boost::asio::awaitable<boost::beast::tcp_stream> acquire(TimePoint deadline, bool allowsReuse);
--- a/src/agent/engine-monitor.h
+++ b/src/agent/engine-monitor.h
@@ -19,8 +19,8 @@
 
     void start();
 
-    /// Starts the next probe at once instead of waiting for its time. Has no effect while a probe is in progress. Each event
-    /// carries the time at which its probe started.
+    /// Starts the next probe immediately instead of at its regular time. Has no effect while a probe is in progress.
+    /// Each event carries the time at which its probe started.
     void probeNow() { m_timer.cancel(); }
 
 private:
--- a/src/agent/engine-order-client.cc
+++ b/src/agent/engine-order-client.cc
@@ -16,8 +16,8 @@
 
 namespace {
 
-/// Limit of one exchange. The rank agent reads the engine's status again long before; this limit only frees the
-/// connection.
+/// Time limit of one order and its response. The rank agent reads the engine's status again long before; this limit
+/// only frees the connection.
 constexpr milliseconds responseTimeout { 1000 };
 constexpr unsigned httpVersion11 = 11;
 
@@ -52,7 +52,7 @@
 
 void EngineOrderClient::send(const expertmap::EngineOrder& order, const expertmap::ExpertMap* map)
 {
-    // Failure: an engine that hangs responds much later. On the same connection its response would be taken for that of a
+    // An engine that hangs may respond much later. On the same connection its response would be taken for that of a
     // newer order, so the connection is closed together with the abandoned order.
     if (m_connection && m_connection->isBusy) {
         m_connection->stream.close();
--- a/src/agent/engine-port.h
+++ b/src/agent/engine-port.h
@@ -21,7 +21,7 @@
     /// Start time of the engine's process. A process that started later has lost all commands and fences.
     gateway::ServerStartTime startedAt;
     EngineGroupName group;
-    /// Counts the formations of the group. An epoch ends whenever a rank is lost.
+    /// Increases each time the ranks form the group. An epoch ends whenever a rank is lost.
     std::uint64_t epoch { 0 };
     RankIndex rank;
     std::uint32_t ranks { 0 };
@@ -32,7 +32,7 @@
     MapVersion map;
     /// Step begun last.
     StepNumber step;
-    /// Map whose weights are loaded but that the rank does not run.
+    /// Map whose weights the engine has loaded but that the rank does not run yet.
     std::optional<MapVersion> prepared;
     std::optional<expertmap::SwitchPoint> armed;
     /// The group does not begin this step before the rank is released.
@@ -62,8 +62,8 @@
 
     Kind kind { Kind::Hold };
     std::uint64_t epoch { 0 };
-    /// Increases with each command: an engine that checks fences rejects a late copy of an older command. 0 for a
-    /// command without a fence, which is never rejected for its fence.
+    /// Fencing number, which increases with each command. An engine that checks fences rejects a late copy of an older
+    /// command. A command with 0 has no fence and is never rejected for this reason.
     std::uint64_t fence { 0 };
     MapVersion version;
     StepNumber step;
--- a/src/agent/engine-run.cc
+++ b/src/agent/engine-run.cc
@@ -158,8 +158,8 @@
     return m_buffer.end() < servedOffset + m_bufferBytes;
 }
 
-// Reading on while no call receives the response would drop bytes that a new connection may still request. Reading from
-// the engine therefore pauses until there is space again, a call attaches or the deadline passes.
+// While no call receives the response, further reading would drop buffered bytes that a new connection may still
+// request. Reading from the engine therefore pauses until there is space again, a call attaches or the deadline passes.
 asio::awaitable<void> EngineRun::waitForBufferSpace()
 {
     while (!hasBufferSpace()) {
--- a/src/agent/engine-run.h
+++ b/src/agent/engine-run.h
@@ -95,7 +95,8 @@
     policy::CrashId m_crash;
 
     std::list<std::weak_ptr<Subscriber>> m_subscribers;
-    /// Offset up to which the response was sent to the last call served. Limits reading while no call is attached.
+    /// Offset up to which the response was sent to the last call served. While no call is attached, it limits how far
+    /// the response is read from the engine.
     std::uint64_t m_servedOffset { 0 };
     std::vector<kj::Own<kj::PromiseFulfiller<void>>> m_waiters;
     boost::asio::steady_timer m_bufferSpaceTimer;
--- a/src/agent/events.h
+++ b/src/agent/events.h
@@ -97,7 +97,7 @@
     TimePoint now;
 };
 
-/// An entry reported the suspects of crashes that it knows of.
+/// An entry reported the crash suspects that it knows of: requests that were on an engine when it crashed.
 struct SuspicionsReceived {
     std::vector<policy::SuspicionMessage> messages;
     TimePoint now;
@@ -113,7 +113,8 @@
 
 using Event = std::variant<RunRequested, ClaimRequested, ClaimReleased, InstanceListReceived, CancelRequested, RunEnded, EngineUp, EngineDown, SuspicionsReceived, LeaveRequested, Tick>;
 
-/// Prepares the request of `call`. It is sent to the engine at once or, if `isHeld`, when `ReleaseRun` follows.
+/// Prepares the request of `call`. The request is sent to the engine immediately or, if `isHeld`, when `ReleaseRun`
+/// follows.
 struct StartRun {
     CallId call;
     RunId run;
@@ -151,7 +152,7 @@
     RunId run;
 };
 
-/// Probes the engine at once, because the connection of a request broke.
+/// Probes the engine immediately, because the connection of a request broke.
 struct ProbeEngine {
 };
 
--- a/src/agent/group-member.cc
+++ b/src/agent/group-member.cc
@@ -15,7 +15,7 @@
 
 constexpr milliseconds busyTickInterval { 10 };
 constexpr milliseconds idleTickInterval { 100 };
-/// A group that has not advanced for this long is considered held.
+/// A group that has not begun a new step for this long during a change is considered held by the change.
 constexpr milliseconds holdTimeout { 1000 };
 /// Interval between the log lines of a held group.
 constexpr milliseconds holdLogInterval { 5000 };
@@ -144,7 +144,7 @@
         m_hooks.sendToEngine(effect.order, map);
         return;
     }
-    // The content of the map has not arrived yet. The order is replaced by a status read; the coordinator repeats the
+    // The content of the map has not arrived yet, so the engine's status is read instead. The coordinator repeats the
     // order until the engine reports the map.
     fetchMap(stage->version);
     m_hooks.sendToEngine({ effect.order.id, effect.order.fence, ReadStatus {} }, nullptr);
@@ -321,7 +321,8 @@
 {
     auto& status = m_agent.status();
     auto step = status ? status->entered : m_lastStep;
-    // Staging runs beside the steps and holds nothing, and rank 0 is not read while other ranks stage.
+    // While ranks load the weights of a map (staging), the group continues its steps, so staging can't hold the group.
+    // Rank 0 is not read while other ranks stage.
     auto phase = m_coordinator->phase();
     bool mayHold = phase != CoordinatorPhase::Idle && phase != CoordinatorPhase::Staging;
     if (step != m_lastStep || !mayHold) {
--- a/src/agent/group-member.h
+++ b/src/agent/group-member.h
@@ -62,7 +62,7 @@
     /// Requests the content of a map from another rank.
     void fetchMap(MapVersion version);
     void onEngineEvent(const expertmap::rank::Event& event);
-    /// At rank 0: starts a change of the group to this map and sends its content to the ranks at once.
+    /// At rank 0: starts a change of the group to this map and immediately sends its content to the ranks.
     void requestMapChange(const expertmap::VersionedMap& map);
     /// At rank 0: withdraws the requested change, unless a rank may already be armed for it.
     void withdrawMapChange();
@@ -73,7 +73,8 @@
     const expertmap::RankAgent& agent() const { return m_agent; }
     /// Null at ranks other than 0.
     const expertmap::Coordinator* coordinator() const { return m_coordinator ? &*m_coordinator : nullptr; }
-    /// Step at which a change may be holding the group. Set once the group has stayed at the step for a second.
+    /// Returns the step at which a change may be holding the group, or `nullopt` if the group has not stayed at one
+    /// step for a second.
     std::optional<StepNumber> heldStep(TimePoint now) const;
     /// Ranks from which the coordinator has not received a report lately, as plain numbers.
     std::vector<std::uint32_t> silentRanks(TimePoint now) const;
--- a/src/agent/group-transport.cc
+++ b/src/agent/group-transport.cc
@@ -135,7 +135,7 @@
     m_socket.async_receive_from(buffer, m_sender, [self = shared_from_this()](boost::system::error_code ec, std::size_t size) {
         if (!self->m_handler || ec == asio::error::operation_aborted)
             return;
-        // Other errors report that an earlier datagram found no receiver. The socket remains usable.
+        // Any other error only reports that an earlier datagram could not be delivered. The socket remains usable.
         if (!ec)
             self->onDatagram(size);
         if (self->m_handler)
@@ -159,8 +159,8 @@
         auto* words = reinterpret_cast<const capnp::word*>(m_buffer.data());
         capnp::FlatArrayMessageReader reader(kj::arrayPtr(words, size / sizeof(capnp::word)));
         auto root = reader.getRoot<schema::GroupMessage>();
-        // Failure: an address has been reassigned and still receives messages of another group, whose orders are meant
-        // for other engines.
+        // After an address has been reassigned, messages of another group may still arrive at it. Their orders are
+        // meant for other engines, so they are dropped.
         if (root.getGroup() != m_group.c_str())
             return std::nullopt;
         return decodeMessage(root);
--- a/src/agent/group-transport.h
+++ b/src/agent/group-transport.h
@@ -42,8 +42,8 @@
     /// Fails with `Unavailable` if `endpoint` can't be bound.
     static Result<std::shared_ptr<GroupTransport>> create(boost::asio::io_context& ioContext, const Endpoint& endpoint, std::string group, Handler handler);
 
-    /// Sends `message` without blocking. A message that can't be sent at once, or that exceeds `maxDatagramBytes`, is
-    /// dropped.
+    /// Sends `message` without blocking. The message is dropped if it can't be sent immediately or exceeds
+    /// `maxDatagramBytes`.
     void send(const Endpoint& to, const GroupMessage& message);
     void stop();
 
--- a/src/agent/load-collector.cc
+++ b/src/agent/load-collector.cc
@@ -8,8 +8,9 @@
 
 namespace {
 
-/// Maximum distance in steps between two reports whose counts can be subtracted. Counts are reported modulo 2^16 and
-/// may wrap around beyond it: the hottest expert of a layer gets up to 1,400 tokens of one rank in a step.
+/// Maximum distance in steps between two reports whose counts can be subtracted. Counts are reported modulo 2^16, and
+/// over a longer distance they may wrap around: the hottest expert of a layer gets up to 1,400 tokens of one rank in a
+/// step.
 constexpr std::uint64_t maxStepsBetweenReports = 40;
 
 } // namespace
@@ -31,13 +32,13 @@
     if (!isFit)
         return;
     auto& last = m_loads[loads.rank.value()];
-    // Failure: datagrams arrive out of order. An older count taken for a newer one would add tokens that have already
-    // been counted.
+    // Datagrams can arrive out of order. If an older count were taken for a newer one, tokens would be added that have
+    // already been counted.
     bool isSameIncarnation = last && last->engine == loads.engine;
     if (isSameIncarnation && loads.step <= last->step)
         return;
-    // Failure: counts may have wrapped around during a long gap between reports, which makes their differences
-    // meaningless.
+    // Counts may have wrapped around during a long gap between reports. Their differences would then be meaningless, so
+    // the report only becomes the new baseline.
     bool isRecent = isSameIncarnation && hasTokens && !last->tokens.empty() && loads.step.value() - last->step.value() <= maxStepsBetweenReports;
     for (std::size_t n = 0; n < m_pendingTokens.size() && isRecent; ++n)
         m_pendingTokens[n] += static_cast<std::uint16_t>(loads.tokens[n] - last->tokens[n]);
@@ -48,8 +49,8 @@
 
 void LoadCollector::observe(TimePoint now)
 {
-    // Failure: the requests of a few ranks use other experts than the requests of the whole group, which would look
-    // like a shift of demand. Those of half of the counting ranks are representative.
+    // The requests of a few ranks use other experts than the requests of the whole group. Passed to the planner alone,
+    // their counts would look like a shift of demand. The counts of half of the counting ranks are representative.
     auto reportedRanks = std::count(m_hasReported.begin(), m_hasReported.end(), true);
     auto countingRanks = std::count_if(m_loads.begin(), m_loads.end(), [](auto& it) { return it && !it->tokens.empty(); });
     if (2 * reportedRanks < countingRanks)
--- a/src/agent/load-collector.h
+++ b/src/agent/load-collector.h
@@ -8,20 +8,21 @@
 
 namespace swiftloft::agent {
 
-/// Collects the loads that the ranks of a group report and feeds them to the planner of the group's next map. Pure: the
-/// caller supplies the time.
+/// Collects the loads (token counts by expert) that the ranks of a group report, and feeds them to the planner of the
+/// group's next map. Pure: the caller supplies the time.
 class LoadCollector {
 public:
     LoadCollector(const expertmap::MapShape& shape, expertmap::ReplicaPlanner planner);
 
     /// Records the report of a rank. A report without tokens only lists the experts that the rank holds.
     void onLoads(const expertmap::RankLoads& loads);
-    /// Passes the collected counts to the planner once half of the counting ranks have reported.
+    /// Passes the collected counts to the planner once half of the counting ranks (those whose reports contain token
+    /// counts) have reported.
     void observe(TimePoint now);
-    /// The map that all ranks run; unset while the map of a rank is unknown or the maps differ.
+    /// Returns the map that all ranks run, or `nullopt` while the map of a rank is unknown or the maps differ.
     std::optional<expertmap::VersionedMap> currentMap() const;
-    /// Ranks that keep `currentMap` unset: they have not reported, or their report differs from that of rank 0 in map
-    /// or incarnation.
+    /// Returns the ranks because of which `currentMap` returns `nullopt`: they have not reported, or their report
+    /// differs from that of rank 0 in map or incarnation.
     std::vector<RankIndex> unknownRanks() const;
     const expertmap::ReplicaPlanner& planner() const { return m_planner; }
 
--- a/src/agent/map-difference.h
+++ b/src/agent/map-difference.h
@@ -8,9 +8,9 @@
 
 namespace swiftloft::agent {
 
-/// A map expressed as its difference from a map that the receiver has. A change of 120 experts takes half a kilobyte,
-/// while the whole map of 16 layers and 24 ranks takes four. Sending the whole map to 23 ranks over 8 Mbit/s took 90
-/// ms, during which all steps are unbalanced.
+/// An expert map expressed as its difference from a map that the receiver already has. A change of 120 experts takes
+/// half a kilobyte, while the whole map of 16 layers and 24 ranks takes four. Sending the whole map to 23 ranks over 8
+/// Mbit/s took 90 ms, and until all ranks have the new map, all steps are unbalanced.
 struct MapDifference {
     struct Slot {
         /// Position in the map, ordered by layer, rank and slot.
--- a/src/agent/map-distribution.h
+++ b/src/agent/map-distribution.h
@@ -15,10 +15,10 @@
 /// Returns the ranks that `self` sends a new map to. Starting at rank 0, each other rank receives the map from exactly
 /// one rank.
 ///
-/// Failure: rank 0 sends the same map to every rank of a large group over its narrow link. Orders and reports queue
-/// behind the map, what does not fit into the link is lost, and changes time out in staging. Forwarding by a few ranks
-/// takes an eighth of the time. A rank whose sender has failed lacks the map when it is ordered to load the map, and
-/// requests it then.
+/// In a large group, rank 0 would have to send the same map to every rank over its narrow link. Orders and reports
+/// would queue behind the map, packets that exceed the capacity of the link would be lost, and changes would time out
+/// in staging. Forwarding by a few ranks takes an eighth of the time. If the rank that should forward the map has
+/// failed, the receiver lacks the map when it is ordered to load it, and then requests it.
 inline std::vector<RankIndex> mapReceivers(RankIndex self, std::uint32_t ranks)
 {
     std::vector<RankIndex> receivers;
--- a/src/agent/map-scheduler.cc
+++ b/src/agent/map-scheduler.cc
@@ -42,8 +42,9 @@
     }
     if (!mayPlan(now, phase))
         return;
-    // Failure: a group has just formed again, and its ranks are at their most unbalanced. A plan made before demand is
-    // known is rejected, and the next plan waits for the delay after a rejection.
+    // When a group has just formed again, its ranks are at their most unbalanced. A plan made before demand is known
+    // would be rejected, and the next plan would have to wait for the delay after a rejection. No plan is therefore
+    // made before there are enough counts.
     if (!m_loadCollector.planner().hasEnoughTokens() && m_loadCollector.unknownRanks().empty()) {
         reportRejectedPlan(now, { .reason = PlanReason::NotEnoughData });
         return;
@@ -65,11 +66,12 @@
     return isSettled && (now >= m_nextPlanAt || hasShifted);
 }
 
-/// Share of the pass time that depends on the load of the ranks.
+/// Returns the fraction of a pass's duration that depends on the load of the ranks.
 ///
-/// Failure: hundreds of groups share the work of a few, and each changes its map with every shift of demand. The
-/// changes cost copies but make no request faster, because the passes last as long as empty ones. Where the load makes
-/// passes long, the same imbalance delays every stream of the group.
+/// Without this fraction, a fleet in which hundreds of groups share the work of a few would change the map of each
+/// group with every shift of demand. The changes would cost copies but make no request faster, because passes with so
+/// little work last as long as empty ones. Where the load makes passes long, the same imbalance delays every stream of
+/// the group.
 double MapScheduler::loadShare() const
 {
     auto basePassTime = std::chrono::duration_cast<Clock::duration>(m_loadCollector.planner().slowestPace() * m_basePassTime);
@@ -90,8 +92,8 @@
     m_hooks.onMapChangeRequested({ nextVersion(current, prepared, generator), *plan.map }, plan);
 }
 
-/// Failure: a scheduler that can't plan looks like one that has nothing to plan, while the most loaded rank slows the
-/// whole group. The report tells the two cases apart and names the ranks without a usable report.
+/// A scheduler that can't plan looks like one that has nothing to plan, while the most loaded rank slows the whole
+/// group. This report distinguishes the two cases and names the ranks without a usable report.
 void MapScheduler::reportUnknownRanks(TimePoint now)
 {
     if (!takeLogAllowance(now))
--- a/src/agent/map-scheduler.h
+++ b/src/agent/map-scheduler.h
@@ -18,17 +18,18 @@
 /// out through hooks.
 class MapScheduler {
 public:
-    /// A requested map that is not in force after this time is withdrawn: a rank can't load it, or the group does not
-    /// advance.
+    /// A requested map that the group does not run after this time is withdrawn. Either a rank can't load it or the
+    /// group does not advance.
     static constexpr milliseconds changeTimeout { 4000 };
-    /// Delay between a change and the next plan, in which the counts come to show the effect of the change.
+    /// Delay between a change and the next plan. After this time the counts reflect the effect of the change.
     static constexpr milliseconds postChangeDelay { 60 };
     /// Delay after a plan that was not worth a change, unless demand shifts. The counts that arrive meanwhile change
-    /// the plan little, and a search on a small share of a processor delays the reads of the engine.
+    /// the plan little. With a small share of a processor, searching for a plan delays the reads of the engine.
     static constexpr milliseconds rejectedPlanDelay { 250 };
-    /// Delay after a shift of demand before the next plan. The reports of one more poll show whether the shift is over.
+    /// Delay after a shift of demand before the next plan. The reports of one more poll show whether demand is still
+    /// shifting.
     static constexpr milliseconds settleTime { 45 };
-    /// Minimum interval between two reports of why nothing is planned.
+    /// Minimum interval between two reports of why no map is planned.
     static constexpr milliseconds unplannedLogInterval { 5000 };
 
     struct Hooks {
@@ -38,12 +39,12 @@
         std::function<void()> onMapChangeWithdrawn;
         /// Reports a plan and the time that it took, whether or not it leads to a change.
         std::function<void(const expertmap::Plan& plan, Clock::duration took)> onPlanned;
-        /// Reports why nothing is planned. `detail` contains the figures.
+        /// Reports why no map is planned. `detail` contains the figures.
         std::function<void(std::string_view reason, const std::string& detail)> onNotPlanned;
     };
 
-    /// `basePassTime` is the duration of a pass with next to no load. `lastVersion` is the highest version that this
-    /// agent has assigned to a map.
+    /// `basePassTime` is the duration of a pass (what the engines run between two checks of their request queues) with
+    /// next to no load. `lastVersion` is the highest version that this agent has assigned to a map.
     MapScheduler(LoadCollector loadCollector, Clock::duration basePassTime, std::uint64_t lastVersion, Hooks hooks);
 
     void onLoads(const expertmap::RankLoads& loads) { m_loadCollector.onLoads(loads); }
--- a/src/agent/rank-daemon.cc
+++ b/src/agent/rank-daemon.cc
@@ -25,25 +25,25 @@
 
 namespace {
 
-/// Interval between reads of the engine. Demand shifts every few seconds, and every step is slower until the map has
-/// followed.
+/// Interval between reads of the engine. Demand shifts every few seconds, and every step is slower until the group's
+/// map has been adapted to the new demand.
 constexpr milliseconds pollInterval { 50 };
 constexpr milliseconds responseTimeout { 60 };
 /// Maximum number of counts sent to rank 0 per second, of two bytes each. Control traffic may use 25 KB per second.
 constexpr std::uint32_t maxCountsPerSecond = 12000;
-/// Maximum number of ranks that send their counts to rank 0 at that rate. All ranks of a group are asked for the same
-/// experts, so the counts of twelve ranks are representative. The counts of more ranks would fill the link of rank 0,
-/// and orders and reports would queue behind them.
+/// Maximum number of ranks that send their counts to rank 0 at that rate. The requests of all ranks of a group use the
+/// same experts, so the counts of twelve ranks are representative. The counts of more ranks would fill the link of rank
+/// 0, and orders and reports would queue behind them.
 constexpr std::uint32_t maxCountingRanks = 12;
 /// Interval at which the other ranks report only the experts that they hold, which takes a tenth of the bytes. They
-/// also report when their map has changed, because rank 0 plans only when it knows the map of every rank. The interval
-/// covers lost datagrams.
+/// also report when their map has changed, because rank 0 plans only when it knows the map of every rank. The
+/// repetition at this interval makes up for lost datagrams.
 constexpr milliseconds heldReportInterval { 500 };
 /// Intervals between status reports to the entries: the first while the engine is healthy, the second while the engine
 /// is slow or its group takes no requests. Entries use a degraded report for 1.2 s only.
 constexpr milliseconds statusInterval { 1400 };
 constexpr milliseconds degradedStatusInterval { 400 };
-/// A relative change of pace above this is reported at once.
+/// A relative change of pace (the engine's slowness relative to normal) above this is reported immediately.
 constexpr double minPaceChange { 0.15 };
 /// An entry that has sent no brief for this long receives no further reports.
 constexpr milliseconds entryLifetime { 5000 };
@@ -54,8 +54,8 @@
 constexpr milliseconds stagingPollInterval { 12 };
 /// Steps between the newest known step and the switch while the duration of steps is unknown.
 constexpr std::uint64_t leadSteps = 2;
-/// Time from the choice of the switch step until all ranks are armed: two exchanges with an engine, one between agents,
-/// and the delay after the neighbour's hold.
+/// Time from the choice of the switch step until all ranks are armed. It covers two exchanges of messages with an
+/// engine, one between agents, and the delay after the neighbour's hold.
 constexpr milliseconds leadTime { 85 };
 constexpr std::uint64_t maxLeadSteps = 64;
 
@@ -95,14 +95,15 @@
     return std::max(1U, static_cast<std::uint32_t>(static_cast<double>(time.count()) / expertMs));
 }
 
-/// Duration of a pass with next to no load.
+/// Duration of a pass with next to no load. A pass is what the engine runs between two checks of its request queue.
 Clock::duration basePassTime(const gateway::EngineTraits& traits)
 {
     std::chrono::duration<double, std::milli> pass(traits.stepMs * traits.stepsPerPass);
     return std::chrono::duration_cast<Clock::duration>(pass);
 }
 
-/// True for every rank of a small group, and for one rank per stride in a large group.
+/// Returns true if the rank reports token counts: every rank of a small group, and one rank per stride in a large
+/// group.
 bool isCountingRank(RankIndex rank, std::uint32_t ranks)
 {
     auto stride = (ranks + maxCountingRanks - 1) / maxCountingRanks;
@@ -169,8 +170,8 @@
     if (!brief || m_isStopped)
         return;
     bool isNewEntry = m_entries.insert_or_assign(gateway::Endpoint(from.address(), from.port()), Clock::now()).second;
-    // Failure: after a power loss, entries send requests to groups that are still forming until they receive the status
-    // of these groups.
+    // After a power loss, entries send requests to groups that are still forming until they receive the status of these
+    // groups.
     if (isNewEntry)
         m_nextStatusAt = Clock::now();
     bool isOurs = m_view && brief->group == m_view->group && brief->epoch.value() == m_view->epoch;
@@ -241,8 +242,8 @@
 
 void RankDaemon::onEngineView(const EngineView& view)
 {
-    // Failure: the engine restarts under the same id and loses its fences, its counts and its map. The state that this
-    // agent keeps of the engine is stale, even before the engine reports the group's new epoch: differences of counts
+    // The engine may restart under the same id and lose its fences, its counts and its map. The state that this agent
+    // keeps of the engine is then stale, even before the engine reports the group's new epoch. Differences of counts
     // would be meaningless, and the switch that was released last would be taken for one of the new incarnation.
     bool isSame = m_view && m_view->startedAt == view.startedAt && m_view->group == view.group && m_view->epoch == view.epoch && m_view->isOpen == view.isOpen;
     m_view = view;
@@ -377,8 +378,8 @@
         m_member->onEngineEvent(rank::EngineDisconnected {});
 }
 
-/// Waits until the engine has loaded the weights of `version`, but no longer than `stagingResponseTimeout`, so that the
-/// coordinator is notified at once and need not poll.
+/// Waits until the engine has loaded the weights of `version`, but no longer than `stagingResponseTimeout`. The
+/// coordinator is then notified immediately and need not poll.
 asio::awaitable<std::optional<EngineStatus>> RankDaemon::awaitStaged(std::shared_ptr<RankEngine> engine, MapVersion version, std::optional<EngineStatus> status)
 {
     auto until = Clock::now() + stagingResponseTimeout;
@@ -390,13 +391,13 @@
     co_return status;
 }
 
-/// Reads the counts of this agent's engine and sends them to rank 0. Local reads cost the group nothing; remote reads
-/// would stop it.
+/// Reads the counts of this agent's engine and sends them to rank 0. Each agent reads its own engine because local
+/// reads cost the group nothing, while reads from another instance would stop the group.
 asio::awaitable<void> RankDaemon::reportLoads()
 {
     auto now = Clock::now();
-    // Counts are also reported before the first step, so that the counts of that step show at once which experts are in
-    // demand.
+    // Counts are also reported before the first step. The counts of the first step then show immediately which experts
+    // are in demand.
     bool hasChanged = m_view && (m_lastReportedMap != m_view->map || hasPaceChanged(m_view->pace, m_paceSentToRankZero));
     bool isDue = m_view && m_view->step != m_lastReportedStep && now >= m_nextLoadReportAt;
     if (!m_member || (!hasChanged && !isDue))
@@ -430,9 +431,9 @@
 {
     if (!m_view)
         return;
-    // Failure: an engine becomes slow and slows every step of its group. Entries keep placing work there until they are
-    // informed. With the next regular report they would learn of the slowdown after a second, and of its end equally
-    // late.
+    // A slow engine slows every step of its group, and entries keep placing work there until they are informed. If a
+    // change of pace had to wait for the next regular report, they would learn of the slowdown only after a second, and
+    // of its end equally late.
     bool isDue = now >= m_nextStatusAt || hasPaceChanged(m_view->pace, m_paceSentToEntries);
     if (!isDue)
         return;
@@ -444,8 +445,9 @@
     auto bytes = encode(gateway::ControlMessage(status));
     for (auto& [address, receivedAt] : m_entries)
         m_controlSocket->sendEncoded(address, gateway::ControlMessageKind::Rank, bytes);
-    // Until an entry has sent a brief, the entries of the settings receive the report: after a power loss all processes
-    // start at once, and the group has no map of its own before its ranks know each other.
+    // Until an entry has sent a brief, the report goes to the entries that the settings name. This is needed after a
+    // power loss: all processes start at the same time, and the group has no map of its own before its ranks know each
+    // other.
     if (!m_entries.empty())
         return;
     for (auto& address : m_settings.entries)
--- a/src/agent/rank-daemon.h
+++ b/src/agent/rank-daemon.h
@@ -65,7 +65,8 @@
 
     std::optional<EngineView> m_view;
     std::optional<gateway::GroupBrief> m_brief;
-    /// Entries that have sent a brief, and the time of the last one.
+    /// Entries that have sent a brief (the control message with the group's epoch and the addresses of its ranks), and
+    /// the time of the last brief of each.
     std::map<gateway::Endpoint, TimePoint> m_entries;
     TimePoint m_nextStatusAt;
     /// Pace that was logged last, reported to the entries last, and reported to rank 0 last.
--- a/src/agent/rank-engine.cc
+++ b/src/agent/rank-engine.cc
@@ -23,17 +23,19 @@
 constexpr milliseconds responseTimeout { 40 };
 /// A command without a response after this time is resent. The timeout is ten times the usual response time.
 constexpr milliseconds resendTimeout { 12 };
-/// Maximum number of sends of one command. If a third of all responses are lost, one command in two hundred gets no
-/// response to any of them and is left to the coordinator's retry.
+/// Maximum number of times that one command is sent. If a third of all responses are lost, one command in two hundred
+/// gets no response to any of these sends and is left to the coordinator's retry.
 constexpr int maxSends = 5;
 /// Weights that are not loaded after this time are requested again: the command was lost or superseded by another.
 constexpr milliseconds prepareRetryInterval { 2500 };
-/// Maximum lead of the fences of an earlier agent in this slot, if the time of day was set back between the two agents.
+/// Fences are derived from the time of day. If the clock was set back between two agents in this slot, the fences of
+/// the earlier agent may be ahead by up to this number.
 constexpr std::uint64_t fenceJump = 10'000'000;
-/// Timeout of a command to the neighbour. Rank 0 holds the group meanwhile, and the neighbour's own agent repairs what
-/// is left behind.
+/// Timeout of a command to the neighbour's engine. Rank 0 holds the group while it waits for the response. If the
+/// command has no effect, the neighbour's own agent repairs the state of its engine.
 constexpr milliseconds neighbourTimeout = resendTimeout;
-/// Time for which only the neighbour is held: a few round trips between instances. Each change takes this much longer.
+/// Time for which only the neighbour is held: a few round trips between instances. Each change of the map takes longer
+/// by this time.
 constexpr milliseconds neighbourHoldTime { 8 };
 
 std::string_view nameOf(EngineCommand::Kind kind)
@@ -115,10 +117,11 @@
     co_return outcome == CommandOutcome::Done;
 }
 
-/// Failure: the engine accepts a command, does not respond and executes the command seconds later. Until the command is
-/// resent, the group keeps the old map or waits at the switch. When only the coordinator retried, each lost response
-/// cost 75 ms, and the group waited 260 ms at a switch. A late copy is harmless if it can only repeat what the protocol
-/// has already moved past, or if it names a step that has begun. Each command that is sent only once states the reason.
+/// An engine may accept a command without responding and execute it seconds later. Until the command is resent, the
+/// group keeps the old map or waits at the switch. When only the coordinator retried, each lost response cost 75 ms,
+/// and the group waited 260 ms at a switch. This function therefore resends commands. A late copy is harmless if it can
+/// only repeat what the protocol has already moved past, or if it names a step that has begun. Each command that is
+/// sent only once states the reason.
 asio::awaitable<CommandOutcome> RankEngine::send(EngineCommand& command, int maxAttempts)
 {
     auto timeout = maxAttempts > 1 ? resendTimeout : responseTimeout;
@@ -145,8 +148,8 @@
         co_await release(released->point);
     else if (auto* cancelled = std::get_if<Cancel>(&order))
         co_await cancel(cancelled->point);
-    // Other orders are executed as reads: engines are admitted when their group opens, and drop a loaded map for the
-    // next one.
+    // Other orders are executed as reads, because the engine needs no command for them: engines are admitted when their
+    // group opens, and drop a loaded map when they load the next one.
     auto view = co_await read();
     co_return statusOf(view);
 }
@@ -170,18 +173,18 @@
     bool mayArm = view.prepared == point.version && view.step < point.step && (!view.armed || view.armed == point);
     if (!mayArm)
         co_return;
-    // Failure: a group that is not held reaches the step before all ranks are armed, and tokens of one step are
-    // computed under two maps. The hold is therefore confirmed before any rank is armed.
+    // If the group were not held, it could reach the switch step before all ranks are armed, and tokens of one step
+    // would be computed under two maps. The hold is therefore confirmed before any rank is armed.
     if (m_holdsGroup && view.heldStep != point.step && !co_await hold(point))
         co_return;
     if (!view.armed)
         co_await command(EngineCommand::Kind::Arm, point.version, point.step);
 }
 
-/// Failure: the coordinator's machine, and with it the path to its engine, stalls for seconds right after it has begun
-/// to hold the group. Nobody can release the engine, and every stream of the group pauses until the machine resumes.
-/// The neighbour's engine is therefore held first, which tests briefly whether this machine continues. If the machine
-/// stalls, the neighbour's agent finds a hold without a switch and releases it within a tenth of a second.
+/// The coordinator's machine, and with it the path to its engine, may stall for seconds right after it has begun to
+/// hold the group. Nobody could then release the engine, and every stream of the group would pause until the machine
+/// resumes. The neighbour's engine is therefore held first, which tests briefly whether this machine continues. If the
+/// machine stalls, the neighbour's agent finds a hold without a switch and releases it within a tenth of a second.
 asio::awaitable<bool> RankEngine::hold(SwitchPoint point)
 {
     if (!m_neighbour)
@@ -190,8 +193,8 @@
     asio::steady_timer pause(co_await asio::this_coro::executor, Clock::now() + neighbourHoldTime);
     co_await pause.async_wait(asio::use_awaitable);
     bool isHeld = co_await command(EngineCommand::Kind::Hold, point.version, point.step);
-    // Failure: if the release were left to the neighbour's agent, the hold would stop the group for as long as the
-    // neighbour's machine stalls.
+    // If the release were left to the neighbour's agent, the hold would stop the group for as long as the neighbour's
+    // machine stalls.
     co_await sendToNeighbour(EngineCommand::Kind::Release, point.step);
     co_return isHeld;
 }
@@ -199,7 +202,8 @@
 asio::awaitable<void> RankEngine::sendToNeighbour(EngineCommand::Kind kind, StepNumber step)
 {
     try {
-        // Sent without a fence, so that the engine does not reject the commands of its own agent because of this one.
+        // This command has no fence. With one, the neighbour's engine could then reject the commands of its own agent,
+        // whose fences may be lower.
         co_await m_neighbour->command({ kind, m_epoch, 0, MapVersion(0), step, nullptr }, m_now() + neighbourTimeout);
     } catch (const boost::system::system_error& error) {
         log::write(log::Event::EngineOrderLost, "order={}-neighbour problem=\"{}\"", nameOf(kind), log::problemOf(error));
@@ -222,9 +226,9 @@
     bool isReleased = m_releasedPoint == point && view.heldStep != point.step;
     if (view.armed != point || isReleased)
         co_return;
-    // Failure: a rank that is released first would enter the step with the new map. The disarm is sent once because it
-    // names no step: a late copy would disarm the rank for the same map at a later step, when others may have been
-    // released for it.
+    // A rank that is released before it is disarmed would enter the step with the new map. The disarm is sent only once
+    // because it names no step: a late copy would disarm the rank for the same map at a later step, when others may
+    // have been released for that step.
     if (co_await commandOnce(EngineCommand::Kind::Disarm, point.version, point.step) && view.heldStep == point.step)
         co_await command(EngineCommand::Kind::Release, point.version, point.step);
 }
@@ -233,21 +237,21 @@
 {
     if (!needsRepair(view))
         co_return;
-    // Failure: the view was read while an order was in progress, between its hold and its switch. A release because of
-    // this view would let the rank enter the step with the new map, and the others with the old one. No order is in
-    // progress now, so a second read shows what the engine actually holds.
+    // The view may have been read while an order was in progress, between the order's hold and its switch. A release
+    // because of this view would let the rank enter the step with the new map, and the others with the old one. No
+    // order is in progress now, so a second read shows what the engine actually holds.
     view = co_await read();
     if (!needsRepair(view))
         co_return;
-    // Failure: the response to a hold was lost and the hold took effect seconds later, or the agent died between the
-    // hold and the switch. The group would stop at that step for ever. A rank that is not armed has nothing to wait
-    // for.
+    // The rank is held but not armed. Either the response to a hold was lost and the hold took effect seconds later, or
+    // the agent died between the hold and the switch. Without a release the group would stop at that step permanently.
+    // A rank that is not armed has no switch to wait for.
     if (view.heldStep && !view.armed) {
         // Sent once: a late copy would release the rank after it has been armed for that step.
         co_await commandOnce(EngineCommand::Kind::Release, view.map, *view.heldStep);
         co_return;
     }
-    // Failure: this agent has just started and finds a switch without a hold. The previous agent may have released the
+    // The rank is armed but not held, as when this agent has just started. The previous agent may have released the
     // rank, or a late copy of that agent's command may have armed this rank alone. The rank is held again until the
     // coordinator sends an order.
     co_await command(EngineCommand::Kind::Hold, view.armed->version, view.armed->step);
--- a/src/agent/rank-engine.h
+++ b/src/agent/rank-engine.h
@@ -22,8 +22,9 @@
 
     RankEngine(EnginePort port, RankIndex rank, std::uint64_t epoch, std::uint64_t initialFence, Now now = Clock::now);
 
-    /// Sets the engine of another rank that is held briefly before the engine of rank 0. If the machine of rank 0
-    /// stalls just as it begins to hold the group, the held engine is one whose own agent can release it.
+    /// Sets the engine of another rank that is held briefly before the engine of rank 0. The machine of rank 0 may
+    /// stall just as it begins to hold the group. In that case only the neighbour's engine is held, and the neighbour's
+    /// own agent can release it.
     void setNeighbour(EnginePort port) { m_neighbour = std::move(port); }
     bool hasNeighbour() const { return m_neighbour.has_value(); }
 
@@ -46,7 +47,7 @@
 private:
     boost::asio::awaitable<EngineView> read();
     boost::asio::awaitable<bool> command(EngineCommand::Kind kind, MapVersion version, StepNumber step, const expertmap::ExpertMap* map = nullptr);
-    /// Like `command`, but sends once. For commands of which a late copy could undo the next one.
+    /// Like `command`, but sends the command only once. For commands of which a late copy could undo the next command.
     boost::asio::awaitable<bool> commandOnce(EngineCommand::Kind kind, MapVersion version, StepNumber step);
     boost::asio::awaitable<bool> execute(EngineCommand command, int maxAttempts);
     /// Sends `command` up to `maxAttempts` times, each time with a new fence.
@@ -71,7 +72,7 @@
     /// Map whose weights are being loaded, and the time before which the load is not requested again.
     std::optional<MapVersion> m_preparing;
     TimePoint m_nextPrepareAt;
-    /// Switch that this agent has released the rank for.
+    /// The switch to a new map for which this agent released the rank last.
     std::optional<expertmap::SwitchPoint> m_releasedPoint;
 };
 
--- a/src/agent/reducer.cc
+++ b/src/agent/reducer.cc
@@ -52,8 +52,8 @@
     // Entries check for quarantine too, but a crash report may have reached this agent and not yet the entry.
     if (m_quarantine.check(event.fingerprint, event.now).action == policy::QuarantineAction::Refuse)
         return Reason::QUARANTINED;
-    // If a suspect crashes the engine, requests running beside it would become suspects as well. No other request starts
-    // while a suspect runs alone or is waiting to.
+    // If a crash suspect crashes the engine, requests that run beside it become suspects as well. No other request
+    // therefore starts while a suspect runs alone or is waiting to do so.
     if (m_aloneRun)
         return Reason::OVERLOADED;
     if (runsAlone && m_quarantine.check(event.fingerprint, event.now).action == policy::QuarantineAction::Wait)
@@ -68,9 +68,10 @@
     auto mayStart = !m_runs.contains(run) && !event.attachesOnly;
     auto reason = mayStart ? refusalReason(event, isAlone) : Reason::NONE;
     if (reason != Reason::NONE) {
-        // The verdict "not run" requires that a late copy of this call, still in some connection's buffer, can't start the
-        // request either. Cancelling leaves a tombstone that prevents this. It returns another verdict if the request has
-        // started or its ticket is outside the range that the table remembers.
+        // The verdict "not run" requires that a late copy of this call, which may still be in the buffer of a
+        // connection, can't start the request either. `cancel` records the ticket as cancelled, which prevents this. It
+        // returns another verdict if the request has started or its ticket is outside the range that the table
+        // remembers.
         auto verdict = m_dedup.cancel(event.ticket);
         if (verdict == Verdict::NotRun) {
             effects.push_back(RefuseCall { event.call, verdict, reason });
@@ -92,9 +93,9 @@
     }
 }
 
-// A client's own key doesn't determine which entry may run the request, so the claim decides. The claim must have been
-// granted by this incarnation to this entry and must not have ended. Without this check, a resend through another entry
-// would run the request again.
+// Several entries may receive requests with the same client key, so the claim decides which entry may run the request.
+// The claim must have been granted by this incarnation to this entry and must not have ended. Without this check, a
+// resend through another entry would run the request again.
 bool Reducer::resolveClaim(const RunRequested& event, Effects& effects)
 {
     auto& claim = *event.claim;
@@ -262,10 +263,10 @@
     m_quarantine.onCrash(report, now);
 }
 
-// The calls of a broken request end only now, together with the crash that broke it. If an entry learned only that the
-// connection broke, it would retry the request elsewhere before the request is a suspect, and a third server could crash
-// because of it. Only a probe that started after the break is conclusive: an earlier one may have found the engine alive
-// just before the crash.
+// The calls of a broken request end only when it is known whether the engine crashed, and they report the crash. If an
+// entry learned only that the connection broke, it would retry the request on another server before the request is
+// known as a suspect, and a third server could crash because of it. Only a probe that started after the break is
+// conclusive: an earlier one may have found the engine alive just before the crash.
 void Reducer::concludeBrokenRuns(TimePoint probedAt, Effects& effects)
 {
     std::erase_if(m_brokenRuns, [&](auto& broken) {
--- a/src/agent/reducer.h
+++ b/src/agent/reducer.h
@@ -26,7 +26,8 @@
     policy::ClaimTableOptions claims;
 };
 
-/// Makes all decisions of an agent about requests: State x Event -> Effects. Belongs to the control thread.
+/// Makes all decisions of an agent about requests: a state machine that maps events to effects. Belongs to the control
+/// thread.
 ///
 /// All requests reach the engine through its agent. A request that this incarnation has started therefore never starts
 /// again, however often and over whichever connection it arrives.
@@ -83,7 +84,7 @@
     Reason refusalReason(const RunRequested& event, bool runsAlone) const;
     bool mustRunAlone(const RunRequested& event) const;
     void startRun(const RunRequested& event, bool isAlone, Effects& effects);
-    /// Returns true if the claim decided the call. Returns false if the request may start.
+    /// Returns true if the check of the claim has already answered the call, and false if the request may start.
     bool resolveClaim(const RunRequested& event, Effects& effects);
     void attachByKey(const RunRequested& event, Effects& effects) const;
     void refuseStart(const RunRequested& event, policy::StartResult result, Effects& effects) const;
--- a/src/agent/replay-buffer.cc
+++ b/src/agent/replay-buffer.cc
@@ -7,7 +7,8 @@
 void ReplayBuffer::append(std::string_view bytes)
 {
     m_bytes.append(bytes);
-    // Erasing moves the bytes that stay, so it is deferred until there is as much to drop as to keep.
+    // Erasing moves the remaining bytes in memory. It is therefore deferred until there are as many bytes to drop as to
+    // keep.
     if (m_bytes.size() < 2 * m_capacity)
         return;
     auto n = m_bytes.size() - m_capacity;
--- a/src/agent/replay-buffer.h
+++ b/src/agent/replay-buffer.h
@@ -24,7 +24,7 @@
     std::uint64_t begin() const { return m_begin; }
     std::uint64_t end() const { return m_begin + m_bytes.size(); }
 
-    /// Returns at most `maxBytes` bytes from `offset` on, or nullopt when `offset` is outside the buffered range.
+    /// Returns at most `maxBytes` bytes from `offset` on, or `nullopt` when `offset` is outside the buffered range.
     std::optional<std::string_view> read(std::uint64_t offset, std::size_t maxBytes) const;
 
 private:
--- a/src/agent/service.cc
+++ b/src/agent/service.cc
@@ -124,8 +124,8 @@
     event.attachesOnly = request.getAttachesOnly() && event.claim;
     m_outbox.post(std::move(event));
     context.releaseParams();
-    // When the entry's connection closes, the promise is dropped and this guard with it. The pump must then stop, while the
-    // request itself continues for a call on a new connection.
+    // When the entry's connection closes, the promise is dropped and this guard is destroyed with it. The guard then
+    // stops the sending of frames to this call, while the request itself continues for a call on a new connection.
     auto stopPump = kj::defer([call]() { call->pumpPromise = nullptr; });
     return pending.promise.then([context](CallOutcome outcome) mutable {
                               auto result = context.getResults().initOutcome();
--- a/src/entry/admission-controller.cc
+++ b/src/entry/admission-controller.cc
@@ -6,11 +6,12 @@
 
 namespace {
 
-/// Seconds of work in progress per backend server: enough that its batch never runs empty between two reports.
+/// Amount of work in progress per backend server, in seconds: enough that the server's batch never runs empty between
+/// two reports.
 constexpr double workSecondsPerServer = 4;
 /// Assumed size of a model request, which converts the limit of concurrent requests into tokens.
 constexpr std::int64_t typicalRequestTokens = 512;
-/// The queue requires a positive capacity, even while no server is known and no request can start.
+/// The admission queue requires a positive capacity, even while no server is known and no request can start.
 constexpr std::int64_t minCapacity = 1;
 
 Tokens capacityOf(const settings::ServiceSettings& service, const ServiceCapacity& capacity)
--- a/src/entry/admission-controller.h
+++ b/src/entry/admission-controller.h
@@ -11,7 +11,8 @@
 
 namespace swiftloft::entry {
 
-/// Capacity of a service's backend servers, from which this entry's share is computed.
+/// Capacity of a service's backend servers. An entry may use an equal share of it: the capacity divided by the number
+/// of entries.
 struct ServiceCapacity {
     std::size_t servers { 0 };
     /// Sum of the throughput that the servers report; 0 when none reports any.
@@ -20,10 +21,10 @@
     std::size_t entries { 1 };
 };
 
-/// Holds a fair queue for each service, in front of the router.
+/// Holds a queue of waiting requests for each service, in front of the router. The queue is fair between organisations.
 ///
-/// Without these queues a burst would wait inside the engines, which serve requests in order of arrival, and one
-/// organisation could fill all batches. The entry therefore starts only the work that its share of the backend servers
+/// Engines serve requests in order of arrival. Without these queues a burst of one organisation would wait inside the
+/// engines and could fill all batches. The entry therefore starts only the work that its share of the backend servers
 /// can handle and queues the rest in fair order.
 class AdmissionController {
 public:
--- a/src/entry/agent-link.cc
+++ b/src/entry/agent-link.cc
@@ -42,7 +42,7 @@
     TimePoint nextHeartbeat {};
     kj::Promise<void> heartbeat { nullptr };
     kj::Promise<void> disconnect { nullptr };
-    /// Calls whose results are ignored.
+    /// Calls that are in progress and whose results are ignored.
     std::vector<kj::Promise<void>> backgroundCalls;
 };
 
@@ -93,8 +93,8 @@
 {
     if (!m_current || m_reattachDeadline)
         return attempt->end(AttemptOutcome::Lost, Verdict::NotRun, AttemptReason::Other);
-    // The ticket names the incarnation that was known when the attempt was decided. Another incarnation must not run the
-    // attempt under this ticket, and nothing has been sent, so the attempt has not run.
+    // The ticket names the agent incarnation that was known when the attempt was created. Another incarnation must not
+    // run the attempt under this ticket. The attempt has not been sent yet, so it has not run.
     if (m_current->incarnation != attempt->spec().ticket.agentIncarnation)
         return attempt->end(AttemptOutcome::Refused, Verdict::NotRun, AttemptReason::WrongIncarnation);
     attempt->startCall(m_current->agent, Clock::now());
@@ -226,7 +226,8 @@
     socket->async_connect(m_endpoint, [self = shared_from_this(), socket](boost::system::error_code ec) {
         if (self->m_connectingSocket != socket || self->m_isStopped)
             return;
-        // A stopped agent refuses connections at once; the delay prevents a busy loop of connection attempts.
+        // A stopped agent refuses connections immediately. Without the delay the link would try to connect in a busy
+        // loop.
         if (ec) {
             self->m_connectDeadline = Clock::now() + self->m_options.heartbeatInterval;
             return;
@@ -271,10 +272,10 @@
     m_hooks.onDown();
 }
 
-// Retrying a repeatable request that has no response yet on another server loses little work, but it consumes retry
-// budget. When many connections go silent together, the budget is soon exhausted and the remaining requests would be
-// refused, although new connections work and the agents are running. The link therefore first waits for a new
-// connection, which costs no retry.
+// Retrying a repeatable request on another server loses little work while it has no response yet, but the retry
+// consumes retry budget. When many connections stop responding together, the budget is soon exhausted. The remaining
+// requests would then be refused, although new connections work and the agents are running. The link therefore first
+// waits for a new connection, which costs no retry.
 void AgentLink::failRepeatableAttempts()
 {
     for (auto& attempt : std::vector(m_attempts)) {
--- a/src/entry/agent-link.h
+++ b/src/entry/agent-link.h
@@ -14,7 +14,7 @@
 
 struct AgentLinkOptions {
     milliseconds heartbeatInterval { 250 };
-    /// A connection whose heartbeat is not answered within this time counts as silent.
+    /// If a heartbeat is not answered within this time, its connection is considered unresponsive.
     milliseconds heartbeatTimeout { 1000 };
     /// Time that repeatable requests wait for a new connection before they are retried on another backend server.
     milliseconds reconnectTimeout { 300 };
@@ -22,11 +22,11 @@
     milliseconds reattachTimeout { 2000 };
 };
 
-/// Connection of one traffic thread to one agent. Sends heartbeats, replaces the connection when it breaks or goes
-/// silent, and moves the attempts in progress to the new connection.
+/// Connection of one traffic thread to one agent. Sends heartbeats, replaces a connection that breaks or no longer
+/// responds, and moves the attempts in progress to the new connection.
 ///
-/// A connection can go silent permanently while new connections work, because a device between the two ends has lost
-/// its state: neither bytes nor errors arrive. Every heartbeat therefore has a deadline, and when it passes, the link
+/// A device between the two ends may lose the state of a connection. Neither bytes nor errors arrive on that connection
+/// any more, while new connections work. Every heartbeat therefore has a deadline. When the deadline passes, the link
 /// tries a new connection before it reports the attempts as lost.
 class AgentLink : public std::enable_shared_from_this<AgentLink> {
 public:
@@ -45,17 +45,17 @@
     /// Closes the link. Attempts in progress end as lost.
     void stop();
 
-    /// Starts an attempt. Without a connection the attempt ends at once with the verdict `NotRun`.
+    /// Starts an attempt. Without a connection the attempt ends immediately with the verdict `NotRun`.
     void startAttempt(std::shared_ptr<Attempt> attempt);
     using OnClaimReply = std::function<void(std::optional<policy::ClaimReply>)>;
-    /// Claims a client's key. `onReply` is called with `nullopt` when the agent can't be reached or does not reply by
-    /// `deadline`.
+    /// Asks the agent to grant a claim, that is the right to run the request with a given client key. `onReply` is
+    /// called with `nullopt` when the agent can't be reached or does not reply by `deadline`.
     void sendClaim(const policy::ClaimRequest& request, TimePoint deadline, OnClaimReply onReply);
-    /// Releases a claim, best effort: a claim whose release is lost expires.
+    /// Releases a claim. The release is sent once and not confirmed: if it is lost, the claim expires later.
     void sendRelease(const policy::ClaimRequest& request);
 
-    /// Sets the suspicions that the next heartbeats carry. If `isUrgent`, a heartbeat is sent at once unless one is
-    /// unanswered.
+    /// Sets the suspicions that the next heartbeats carry. A suspicion names a request that may have crashed an engine.
+    /// If `isUrgent`, a heartbeat is sent immediately unless an earlier one is still unanswered.
     void setSuspicions(std::vector<policy::SuspicionMessage> suspicions, bool isUrgent);
 
     /// Cancels an attempt and notifies the agent if it is reachable.
--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -107,8 +107,8 @@
     kj::Promise<void> write(WriteContext context) override
     {
         auto attempt = m_attempt.lock();
-        // Guards against late frames of a connection that was abandoned as silent: the new connection sends the same
-        // bytes, so the client would get them twice.
+        // The connection was abandoned because it no longer responded, and this frame arrived late. The new connection
+        // sends the same bytes, so without this check the client would get them twice.
         if (!attempt || attempt->m_callNumber != m_callNumber || attempt->m_hasEnded)
             return kj::READY_NOW;
         return attempt->onFrame(context.getParams().getFrame());
@@ -173,8 +173,8 @@
 
 kj::Promise<void> Attempt::onBytes(std::uint64_t offset, capnp::Data::Reader bytes)
 {
-    // Guards against a gap, which would give the client a shortened response that looks complete, and against bytes that
-    // arrive twice. The offset gives the position of the bytes in the response.
+    // The offset gives the position of the bytes in the response. Missing bytes would give the client a shortened
+    // response that looks complete, and bytes that arrive twice would corrupt the response.
     if (!m_hasHead || offset > m_received) {
         end(AttemptOutcome::Damaged, Verdict::MayHaveRun, AttemptReason::Other);
         return kj::READY_NOW;
--- a/src/entry/attempt.h
+++ b/src/entry/attempt.h
@@ -10,8 +10,9 @@
 
 namespace swiftloft::entry {
 
-/// An attempt at a request on a traffic thread: calls the agent, checks the frames that it sends, and forwards the
-/// response. The call may be started again on a new connection; the response then resumes at the offset reached.
+/// One attempt to run a request on a backend server. Belongs to a traffic thread. Calls the agent, checks the frames
+/// that the agent sends, and forwards the response to the client. After a lost connection the call may be started again
+/// on a new connection; the response then resumes after the bytes already received.
 class Attempt : public std::enable_shared_from_this<Attempt> {
 public:
     struct Hooks {
--- a/src/entry/backend-server-registry.h
+++ b/src/entry/backend-server-registry.h
@@ -26,17 +26,18 @@
     /// Bit n is set while the link of worker n is up.
     std::uint64_t linkedWorkers { 0 };
     bool isEngineUp { false };
-    /// A suspected request has exclusive use of the engine; no other request may be sent to it.
+    /// The engine is reserved for a suspected request, that is one that was running on a server when its engine
+    /// crashed. Such a request runs alone, so no other request may be sent to the server.
     bool isReserved { false };
     bool isLeaving { false };
     /// Set while the server is registered with its service's router, that is while it may get new work.
     std::optional<policy::ServerHandle> handle;
 };
 
-/// The known backend servers, with one router per service over those that may get new work.
+/// The known backend servers. Has one router per service, which chooses among the servers that may get new work.
 ///
-/// Three sources can mark a server as leaving: the published list, the report of its own agent, and the peers. The first
-/// one to do so takes effect, and the mark stays for the rest of the server's incarnation.
+/// Three sources can mark a server as leaving: the published list, the report of its own agent, and the peers. The
+/// first mark takes effect and stays for the rest of the server's incarnation.
 class BackendServerRegistry {
 public:
     explicit BackendServerRegistry(DataCentreName dataCentre);
@@ -44,8 +45,9 @@
     /// Opens links to servers that are new in `view` and closes links to servers that are no longer in it.
     void onView(const membership::View& view, TimePoint now, Effects& effects);
     void onReport(const LinkReported& event);
-    /// Handles an agent's refusal of work because it is leaving, its engine is down or a suspected request has exclusive
-    /// use of the engine. The agent's next report may lift the last two.
+    /// Records why an agent refused work: it is leaving, its engine is down, or its engine is reserved for a suspected
+    /// request. If the engine is up again or no longer reserved, the agent's next report clears that state; the mark as
+    /// leaving stays.
     void onRefusal(const BackendServerId& id, AttemptReason reason);
     void onLinkDown(const LinkDown& event);
 
@@ -60,11 +62,13 @@
     const BackendServer* find(const ServiceName& service, policy::ServerHandle handle);
     /// Returns the ids of the service's servers that are up and not leaving, including reserved servers.
     std::vector<BackendServerId> upServers(const ServiceName& service) const;
-    /// True if a server of the service gets no work only because it is reserved for a suspected request.
+    /// True if at least one server of the service is up but gets no new work because it is reserved for a suspected
+    /// request.
     bool hasReservedServer(const ServiceName& service) const;
     /// Returns the number of the service's servers that may get new work, and the sum of their throughput.
     ServiceCapacity capacityOf(const ServiceName& service) const;
-    /// Returns the selector of the homes of client keys, or null for a service that has had no listed server.
+    /// Returns the selector of the homes of client keys, or null for a service that has had no listed server. The homes
+    /// of a key are the agents that grant claims for it, so that a request with a client's own key runs at most once.
     policy::HomeSelector* homeSelector(const ServiceName& service);
 
     const boost::unordered_flat_map<BackendServerId, BackendServer, std::hash<BackendServerId>>& servers() const { return m_servers; }
--- a/src/entry/daemon.cc
+++ b/src/entry/daemon.cc
@@ -142,8 +142,9 @@
 
 void Daemon::onWorkerFinished()
 {
-    // Each worker reports once for each `Finish` that it receives while idle. All workers are idle when the number of
-    // reports since the last `Finish` reaches the number of workers.
+    // `Finish` goes to all workers and resets the count. A worker without open exchanges reports once for each
+    // `Finish`; a busy worker does not report, and gets the next `Finish` on the next tick. All workers are idle when
+    // the number of reports since the last `Finish` reaches the number of workers.
     if (++m_finishedWorkers >= m_workers.size())
         m_control.stop();
 }
--- a/src/entry/daemon.h
+++ b/src/entry/daemon.h
@@ -23,7 +23,7 @@
 public:
     Daemon(process::ProcessConfig config, Incarnation incarnation);
 
-    /// Runs the entry. Returns when it has shut down.
+    /// Runs until the entry has shut down.
     void run();
 
 private:
--- a/src/entry/events.h
+++ b/src/entry/events.h
@@ -32,7 +32,8 @@
 /// Index of a traffic thread.
 using WorkerIndex = Strong<struct WorkerIndexTag, std::uint32_t>;
 
-/// Attributes of a client's request as read from its headers and body. The reducer fills in the defaults.
+/// Attributes of a client's request as read from its headers and body. The reducer replaces unset attributes by
+/// defaults.
 struct RequestInfo {
     ServiceName service;
     OrganisationName organisation;
@@ -42,7 +43,8 @@
     std::optional<RequestKey> clientKey;
     std::optional<bool> isRepeatable;
     std::optional<TimePoint> deadline;
-    /// Hash of the body. The reducer combines it with the organisation into a fingerprint.
+    /// Hash of the body. The reducer combines it with the organisation into a fingerprint, which identifies the request
+    /// when it is sent again under another key.
     std::uint64_t bodyHash { 0 };
     Tokens promptTokens;
     Tokens expectedOutput;
@@ -101,7 +103,8 @@
     policy::CrashId crash {};
 };
 
-/// A home of a client's key replied to a claim. Without a reply, the home could not be reached in time.
+/// The result of a claim at one home of a client's key. The homes of a key are the agents that decide which entry may
+/// run the request. `reply` is unset if the home could not be reached in time.
 struct ClaimCompleted {
     RequestId id;
     policy::ClaimId claim;
@@ -120,7 +123,7 @@
     Incarnation incarnation;
     bool isLeaving { false };
     bool isEngineUp { false };
-    /// A suspected request has, or waits for, exclusive use of the engine.
+    /// A suspected request (one that may have crashed an engine) is running alone on the engine or is waiting to do so.
     bool isReserved { false };
     Tokens pending;
     double tokensPerSecond { 0 };
@@ -128,7 +131,7 @@
     std::vector<policy::SuspicionMessage> suspicions;
 };
 
-/// The latest report of an agent arrived over a link, which is therefore up.
+/// An agent's report arrived over a link, which shows that the link is up.
 struct LinkReported {
     WorkerIndex worker;
     BackendServerId server;
@@ -184,9 +187,10 @@
     bool isRepeatable { false };
     bool runsAlone { false };
     TimePoint deadline;
-    /// Set for a non-repeatable request with a client's own key.
+    /// The claim under which the request runs. Set for a non-repeatable request with a client's own key.
     std::optional<policy::ClaimRequest> claim;
-    /// The attempt must not start a run; it fetches the response of a run that was started under another claim.
+    /// The attempt must not start the request. It only fetches the response of a run that was started under another
+    /// claim.
     bool attachesOnly { false };
 };
 
@@ -195,7 +199,7 @@
     AttemptSpec spec;
 };
 
-/// Sends a claim for a client's key to one of the key's homes.
+/// Sends a claim for a client's key to one of the key's homes, the agents that grant claims.
 struct SendClaim {
     WorkerIndex worker;
     RequestId id;
@@ -224,7 +228,7 @@
     Refusal refusal;
 };
 
-/// Aborts a response whose output has begun, so that the client can't take it for complete.
+/// Aborts a response whose output has begun, in a way that the client can't mistake for the end of a complete response.
 struct AbortResponse {
     WorkerIndex worker;
     RequestId id;
@@ -240,7 +244,7 @@
     BackendServerId server;
 };
 
-/// Replaces the suspicions that heartbeats to agents carry. If `isUrgent`, the next heartbeats are sent at once.
+/// Replaces the suspicions that heartbeats to agents carry. If `isUrgent`, the next heartbeats are sent immediately.
 struct PublishSuspicions {
     std::vector<policy::SuspicionMessage> suspicions;
     bool isUrgent { false };
@@ -259,7 +263,7 @@
     unsigned attempts { 0 };
 };
 
-/// Sends a message of the lending protocol to another entry, best effort.
+/// Sends a message of the lending protocol to another entry. The message may be lost.
 struct SendLendingMessage {
     InstanceId to;
     LendingMessage message;
@@ -273,7 +277,7 @@
 struct CloseListeners {
 };
 
-/// Ends the process: no request is in progress and no more can arrive.
+/// Ends the process. Emitted once no request is in progress and no more can arrive.
 struct Finish {
 };
 
--- a/src/entry/exchange.h
+++ b/src/entry/exchange.h
@@ -61,8 +61,8 @@
     /// slowly applies back-pressure to the agent. Parts are dropped once the exchange is closed.
     kj::Promise<void> push(ResponsePart part);
 
-    /// Holds the head until the first byte or the end of the body follows, so that an attempt that fails right after
-    /// its head can still be retried.
+    /// Holds the response head back until the first byte or the end of the body follows. An attempt that fails right
+    /// after its head can then still be retried.
     void holdHead(ResponseHead head) { m_heldHead = std::move(head); }
 
     /// Drops a held head that has not been sent, because a new attempt starts the response again.
@@ -74,7 +74,8 @@
     /// True when `next` would return a part without waiting.
     bool hasNext() const { return !m_parts.empty(); }
 
-    /// Closes the exchange when the client has disconnected or has its response. Later parts are dropped.
+    /// Closes the exchange. Call this when the client has disconnected or has received its response. Later parts are
+    /// dropped.
     void close();
     bool isClosed() const { return m_isClosed; }
 
--- a/src/entry/lending-message.h
+++ b/src/entry/lending-message.h
@@ -9,7 +9,7 @@
 
 namespace swiftloft::entry {
 
-/// A message of the lending protocol between entries.
+/// A message of the lending protocol. With it, entries lend each other unused parts of an organisation's limit.
 using LendingMessage = std::variant<policy::LendRequest, policy::LendGrant>;
 
 std::string encode(const LendingMessage& message);
--- a/src/entry/reducer-attempts.cc
+++ b/src/entry/reducer-attempts.cc
@@ -96,9 +96,9 @@
         publishSuspicions(true, event.now, effects);
     }
     if (isServerUnavailable(event)) {
-        // The refusal is newer than the server's last report. Without this update the next requests would also be sent to
-        // the server until its next report, and each would cost a retry. Each server can refuse only once in this way, so
-        // the sequence of new attempts ends.
+        // The refusal is newer than the server's last report. Without this update the next requests would also be sent
+        // to the server until its next report, and each of them would cost a retry. After the update the server is no
+        // longer chosen, so each server can refuse only once in this way and the sequence of new attempts ends.
         m_serverRegistry.onRefusal(server, event.reason);
         if (!request.needsClaim() && event.reason == AttemptReason::Overloaded)
             return waitForReservedServer(event.id, event.now);
--- a/src/entry/reducer-claims.cc
+++ b/src/entry/reducer-claims.cc
@@ -1,6 +1,7 @@
 #include "src/entry/reducer.h"
 
-/// The part of the entry's reducer that claims a client's own key at the key's homes before the request may run.
+/// The part of the entry's reducer that handles claims. A non-repeatable request with a client's own key may run only
+/// after the key's homes (the agents that grant claims) have granted a claim for the key.
 namespace swiftloft::entry {
 
 namespace {
@@ -77,7 +78,7 @@
     if (it == m_requests.end() || !it->second.claim)
         return;
     auto& request = it->second;
-    // Ignores late replies to an abandoned claim, which do not apply to the claim that followed it.
+    // A late reply to an abandoned claim is ignored, because it does not apply to the claim that followed.
     if (request.claim->request().claim != event.claim || request.claim->isDone())
         return;
     auto next = event.reply ? request.claim->onReply(event.home, *event.reply) : request.claim->onUnreachable(event.home);
--- a/src/entry/reducer.cc
+++ b/src/entry/reducer.cc
@@ -15,7 +15,8 @@
 constexpr milliseconds housekeepingInterval { 250 };
 /// Interval at which a waiting request checks whether a server reserved for a suspected request is available again.
 constexpr milliseconds reservedRetryInterval { 50 };
-/// Time that a request over its entry's share waits for a peer's grant: a few round trips within a region.
+/// Time that a request waits for a peer's grant when it exceeds the part of a limit that this entry may use: a few
+/// round trips within a region.
 constexpr milliseconds grantTimeout { 60 };
 
 RequestKey generateKey(Incarnation incarnation, RequestId id)
@@ -90,8 +91,8 @@
         request.isCountedInLimits = true;
         return admit(id, request, now, effects);
     }
-    // One round trip to a peer may bring the missing share. This wait is not used to throttle the request: it is bounded
-    // by the time that the grant takes.
+    // A peer may lend the missing part of the limit within one round trip, so the request waits for the grant. The wait
+    // is bounded by the time that a grant takes and is not used to throttle the request.
     if (decision.isBorrowing && now < request.arrivedAt + grantTimeout) {
         m_awaitingGrant.emplace(request.arrivedAt + grantTimeout, id);
         return;
@@ -183,15 +184,15 @@
     return true;
 }
 
-// While suspected requests use the servers exclusively, one after the other, the other requests wait, at most until their
-// deadlines. When these waits consumed retry budget, or the requests were refused, a crash with several requests in the
-// engine led to the refusal of a sixth of all requests.
+// Suspected requests use the servers exclusively, one after the other. Meanwhile the other requests wait, at most until
+// their deadlines. The wait must neither consume retry budget nor end in a refusal: when it did, a crash with several
+// requests in the engine led to the refusal of a sixth of all requests.
 void Reducer::waitForReservedServer(RequestId id, TimePoint now)
 {
     m_retries.emplace(now + reservedRetryInterval, id);
 }
 
-// A suspected request runs alone, on the server that every entry selects for it, so that a second crash affects no other
+// A suspected request runs alone. All entries select the same server for it, so that a second crash affects no other
 // request.
 bool Reducer::chooseIsolationServer(const Request& request, Attempt& attempt) const
 {
@@ -252,7 +253,8 @@
 {
     refusal.verdict = request.verdict;
     if (request.attempt) {
-        // The agent has received the attempt and has not reported that it did not start.
+        // The attempt has been sent to the agent, and the agent has not reported that the request did not start. The
+        // request may therefore have run.
         refusal.verdict = combine(refusal.verdict, Verdict::MayHaveRun);
         effects.push_back(CancelAttempt { request.worker, id, request.attempt->server });
         releaseAttempt(request, policy::FailureKind::TimedOut, now);
@@ -358,8 +360,8 @@
 {
     if (m_acceptUntil)
         return;
-    // Clients may hold an address list that names this entry, sent a moment ago by a peer that did not yet know that this
-    // entry is leaving. Closing the listeners earlier would refuse their connections.
+    // A peer that did not yet know that this entry is leaving may have just sent an address list that names this entry.
+    // If the listeners were closed earlier, connections of clients with that list would be refused.
     membership::AddressAnswerOptions answers;
     answers.meanLifetime = std::chrono::duration_cast<milliseconds>(m_resolver ? m_resolver->maxKeepTime() : microseconds { 0 });
     m_acceptUntil = membership::acceptUntil(event.now, answers);
--- a/src/entry/reducer.h
+++ b/src/entry/reducer.h
@@ -55,8 +55,8 @@
         AttemptSerial serial;
         BackendServerId server;
         policy::RouteChoice choice;
-        /// False if the router did not choose the server: for the home of a key or the isolation server of a suspected
-        /// request.
+        /// False if the server was not chosen by the router. This is so for a home of the request's client key and for
+        /// the server that runs a suspected request alone.
         bool isRouted { true };
         bool isIsolated { false };
         TimePoint startedAt;
@@ -82,8 +82,8 @@
         /// Set once a claim for a client's own key has been started.
         std::optional<policy::ClaimProtocol> claim;
 
-        /// True for a non-repeatable request with a client's own key. Such a request may run only under a claim that the
-        /// key's homes have granted.
+        /// True for a non-repeatable request with a client's own key. Such a request may run only under a claim that
+        /// has been granted by the key's homes, the agents that decide which entry may run it.
         bool needsClaim() const { return info->clientKey && !resolved.isRepeatable; }
     };
 
@@ -133,7 +133,8 @@
     policy::Generator m_generator;
     BackendServerRegistry m_serverRegistry;
     RequestLimiter m_limiter;
-    /// Requests over this entry's share that wait for a peer's grant, ordered by the time at which the wait ends.
+    /// Requests that exceed the part of the organisation's limit that this entry may use, and that wait for another
+    /// entry to lend some of its part. Ordered by the time at which the wait ends.
     std::set<std::pair<TimePoint, RequestId>> m_awaitingGrant;
     AdmissionController m_admission;
     policy::CrashQuarantine m_quarantine;
--- a/src/entry/refusal.h
+++ b/src/entry/refusal.h
@@ -38,7 +38,7 @@
     std::string_view text;
 };
 
-/// Returns the properties of a reason; those of `BadRequest` for an unknown number.
+/// Returns the properties of a reason. For an unknown number, returns the properties of `BadRequest`.
 const RefusalInfo& infoOf(RefusalReason reason);
 
 /// A final response that the entry itself generates.
--- a/src/entry/request-limiter.cc
+++ b/src/entry/request-limiter.cc
@@ -33,8 +33,9 @@
 RequestLimiter::RequestLimiter(InstanceId self, Incarnation incarnation, bool isFirstStart, TimePoint now)
     : m_self(std::move(self))
     , m_isFirstStart(isFirstStart)
-    // On the first start of a fleet no entry can hold an earlier share, so this entry starts as if it had observed the
-    // list for a whole window.
+    // A new entry normally has no share until it has read lists for a whole window, because other entries may still use
+    // shares computed from an earlier list. On the first start of a fleet there is no earlier share, so this entry
+    // starts as if it had observed the list for a whole window.
     , m_limits(policy::OrganisationLimits::create({}, m_self, incarnation, isFirstStart ? now - policy::FleetShareOptions().window : now).value())
 {
 }
@@ -97,7 +98,8 @@
 
 void RequestLimiter::onView(const membership::View& view, TimePoint now)
 {
-    // A view from before the first list has no members. Treated as a list, it would mean that this entry was removed.
+    // Before the first list arrives, a view has no members. If such a view were treated as a list, it would mean that
+    // this entry was removed.
     if (view.listRevision == Revision(0))
         return;
     std::vector<InstanceId> entries;
--- a/src/entry/request-limiter.h
+++ b/src/entry/request-limiter.h
@@ -14,8 +14,8 @@
 
 namespace swiftloft::entry {
 
-/// Enforces the limits of organisations at services: requests per second, tokens per second and requests in progress, over
-/// all entries.
+/// Enforces the limits of organisations at services: requests per second, tokens per second and requests in progress. A
+/// limit applies to the sum over all entries; each entry enforces its share of the limit.
 class RequestLimiter {
 public:
     RequestLimiter(InstanceId self, Incarnation incarnation, bool isFirstStart, TimePoint now);
@@ -29,12 +29,13 @@
     };
 
     Decision admit(const std::shared_ptr<const settings::OrganisationSettings>& settings, Tokens estimate, TimePoint now, Effects& effects);
-    /// Releases an admitted request that has its final response. A request that did not run returns its tokens.
+    /// Call when an admitted request has its final response. If the request did not run, its tokens are credited again.
     void release(const settings::OrganisationSettings& settings, Tokens estimate, Verdict verdict, TimePoint now);
 
-    /// Creates or updates the organisation's limit here, so that the share can be lent before its first use.
+    /// Creates or updates the organisation's limit at this entry, so that the entry can lend its share before it has
+    /// received a request of the organisation.
     void ensureLimit(const std::shared_ptr<const settings::OrganisationSettings>& settings, TimePoint now);
-    /// Returns the service and organisation of the limit name in a lending message.
+    /// Splits a limit name, as lending messages carry it, into service and organisation.
     static std::optional<policy::TrafficKey> trafficKeyOf(const OrganisationName& limitName);
 
     void onView(const membership::View& view, TimePoint now);
--- a/src/entry/response-writer.cc
+++ b/src/entry/response-writer.cc
@@ -105,7 +105,8 @@
 
 void ResponseWriter::addAbort(const ResponseAbort& abort, std::string& out)
 {
-    // The response may have been aborted inside an event; the empty line ends that event first.
+    // The response may have been aborted in the middle of an event. The empty line ends that event before the last
+    // event is written.
     addLastEvent(toJson(abort.refusal), "\n\n", out);
     m_keepsAlive = false;
     m_isDone = true;
--- a/src/entry/response-writer.h
+++ b/src/entry/response-writer.h
@@ -8,8 +8,9 @@
 
 /// Serialises the parts of one response as HTTP/1.1.
 ///
-/// A response of unknown length is sent in chunks, and the last chunk is sent only after the end mark, so that the client
-/// can't take an aborted response for complete. An event stream carries the verdict in its last event.
+/// A response of unknown length is sent in chunks, and the last chunk is sent only after the end mark of the agent has
+/// arrived. A client therefore can't mistake an aborted response for a complete one. An event stream carries the
+/// verdict in its last event.
 class ResponseWriter {
 public:
     struct Options {
--- a/src/entry/retry-controller.h
+++ b/src/entry/retry-controller.h
@@ -12,8 +12,8 @@
 /// Holds the retry policy and the retry budget of each service, configured from its settings.
 class RetryController {
 public:
-    /// Sets the options of a new or changed service. The budget earned by its organisations is kept unless the ratio
-    /// changes.
+    /// Sets the options of a new or changed service. Keeps the retry budget that its organisations have earned, unless
+    /// the ratio of the budget changes.
     void setOptions(const settings::ServiceSettings& service);
 
     policy::RetryDecision decide(const policy::FailedAttempt& attempt, TimePoint now, policy::Generator& generator);
--- a/src/entry/worker.cc
+++ b/src/entry/worker.cc
@@ -145,8 +145,8 @@
     });
 }
 
-// Closing the listener would reset connections that the kernel has completed but that are not yet accepted, and their
-// requests would be lost. They are therefore accepted first.
+// Closing the listener would reset connections that the kernel has completed but that are not yet accepted, and the
+// requests on them would be lost. These connections are therefore accepted first.
 void Worker::closeListener()
 {
     if (!m_acceptor)
@@ -261,8 +261,8 @@
     m_exchanges.erase(exchange->id());
 }
 
-// While a response is pending, nothing is read from the client. A client that gives up is visible only by its closed
-// connection, and without this check its request would continue to use the backend server.
+// While a response is pending, no data is read from the client, so a client that gives up is noticed only by its closed
+// connection. Without this check its request would continue to use the backend server.
 void Worker::watchForClose(Stream& stream, const std::shared_ptr<Exchange>& exchange)
 {
     auto weak = std::weak_ptr(exchange);
--- a/src/entry/worker.h
+++ b/src/entry/worker.h
@@ -37,7 +37,8 @@
         std::function<void(std::vector<Event>)> post;
         /// Requests a status page. Called on the worker's thread; `reply` may be called on any thread.
         std::function<void(std::string target, std::function<void(process::StatusAnswer)> reply)> statusPage;
-        /// Called when this worker is idle after `Finish`.
+        /// Called for each `Finish` that this worker receives while it has no open exchange. Not called while the
+        /// worker is busy.
         std::function<void()> onFinished;
     };
 
--- a/test/agent-reducer_test.cc
+++ b/test/agent-reducer_test.cc
@@ -106,8 +106,8 @@
     CHECK(refusalVerdict(late) == Verdict::NotRun);
 }
 
-// Guards against running a request that was reported as "not run". The agent refuses a request while its engine is down,
-// with the verdict "not run". The engine comes back, and then a second copy of that call arrives.
+// Guards against running a request that was reported as "not run". The agent refuses a request while its engine is
+// down, with the verdict "not run". The engine starts again, and then a second copy of that call arrives.
 TEST_CASE("Agent: a request refused as not run never starts after the engine comes back")
 {
     Agent agent;
@@ -145,9 +145,9 @@
     CHECK(all<Finish>(agent.endRun(5, RunOutcome::Answered)).size() == 1);
 }
 
-// Guards against retrying a request that crashed an engine before it is a suspect. Two requests are at the engine when it
-// crashes. Their entries are informed only once the agent knows that it was a crash, so that no entry sends either request
-// elsewhere before then.
+// Guards against sending a request to another server before it is known as a crash suspect. Two requests are at the
+// engine when it crashes. Their entries are informed only once the agent knows that it was a crash, so that no entry
+// retries either request before then.
 TEST_CASE("Agent: a broken request ends only when a later probe has found the cause")
 {
     Agent agent;
@@ -167,8 +167,9 @@
     CHECK(all<PublishReport>(crash).back().suspicions.size() == 2);
 }
 
-// Guards against suspecting innocent requests. A crash suspect arrives again. It is held until no other request is at the
-// engine, and no other request starts beside it, so that no innocent request is at the engine if it crashes again.
+// Guards against suspecting innocent requests. A crash suspect (a request that was on an engine when it crashed)
+// arrives again. It must wait until no other request is at the engine, and no other request may start beside it. If the
+// engine crashes again, no innocent request is then affected.
 TEST_CASE("Agent: a suspect runs alone")
 {
     Agent agent;
--- a/test/fake-engine-group.h
+++ b/test/fake-engine-group.h
@@ -10,8 +10,8 @@
 #include <set>
 #include <vector>
 
-/// Fake rank group whose engines take simple commands and step together. A hold at one rank stops all ranks, commands
-/// are conditional on no more than the step and the epoch, and a command without a response is executed seconds later.
+/// Fake rank group whose engines take simple commands and step together. A hold at one rank stops all ranks. A command
+/// is checked only against the step and the epoch, and a command that gets no response is executed seconds later.
 namespace swiftloft::agent::rig {
 
 /// Simulated time advances in turns of this duration.
--- a/test/load-collector_test.cc
+++ b/test/load-collector_test.cc
@@ -61,8 +61,9 @@
     CHECK(observedImbalance(it) == Approx(1.5));
 }
 
-// Guards against an older report that arrives after a newer one. Its difference modulo 2^32 would be four billion
-// tokens of one expert, and the planner would move everything.
+// Guards against an older report that arrives after a newer one. Counts are subtracted modulo 2^16, so the difference
+// would be up to 65,535 tokens of one expert that were never processed, and the planner would move experts because of
+// them.
 TEST_CASE("LoadCollector: reports out of order, of another incarnation or of the wrong size add nothing")
 {
     auto it = makeCollector();
@@ -88,8 +89,8 @@
     CHECK(observedImbalance(it) == Approx(1));
 }
 
-// Guards against a false shift of demand: the requests of one rank happen to use one expert, and no other rank has
-// reported in the same window.
+// Guards against a shift of demand that did not happen: the requests of one rank happen to use one expert, and no other
+// rank has reported in the same window.
 TEST_CASE("LoadCollector: the planner receives nothing before half of the counting ranks have reported")
 {
     ReplicaPlanner::Options options;
@@ -111,8 +112,8 @@
     CHECK(it.planner().isKnown());
 }
 
-// A rank outside the sample reports only the experts that it holds. Its report completes the map, and its counts are
-// not waited for.
+// In a large group only a sample of the ranks reports counts. A rank outside the sample reports only the experts that
+// it holds. Its report completes the map, and the collector does not wait for its counts.
 TEST_CASE("LoadCollector: a report without counts lists the experts that the rank holds")
 {
     auto it = makeCollector();
@@ -123,8 +124,8 @@
     CHECK(observedImbalance(it) == Approx(2));
 }
 
-// Guards against meaningless differences of counts: datagrams of a rank are lost for seconds, and its counts wrap
-// around meanwhile.
+// Guards against meaningless differences of counts: datagrams of a rank are lost for seconds, and meanwhile its counts
+// wrap around.
 TEST_CASE("LoadCollector: counts after a long gap start a new baseline")
 {
     auto it = makeCollector();
--- a/test/map-distribution_test.cc
+++ b/test/map-distribution_test.cc
@@ -7,8 +7,9 @@
 using namespace swiftloft;
 using namespace swiftloft::agent;
 
-// Guards against an overloaded link of rank 0: in a group of 64 it sent a new map 63 times over its link of 6 Mbit/s.
-// What did not fit was lost, ranks requested whole maps, and the change timed out after four seconds in staging.
+// Guards against an overloaded link of rank 0: in a group of 64, rank 0 sent a new map 63 times over its link of 6
+// Mbit/s. Datagrams that exceeded the capacity of the link were lost, ranks requested whole maps, and the change timed
+// out after four seconds in staging.
 TEST_CASE("Map distribution: each rank receives a map from one other, and none sends many in a large group")
 {
     for (std::uint32_t ranks : { 1U, 2U, 8U, 12U, 24U, 32U, 33U, 64U, 72U }) {
--- a/test/map-scheduler_test.cc
+++ b/test/map-scheduler_test.cc
@@ -83,8 +83,8 @@
     CHECK(rig.requestedMaps[1].version > rig.requestedMaps[0].version);
 }
 
-// Guards against a change that blocks all later ones: a rank can't load the weights of a map, and the group would not
-// follow the next shift of demand.
+// Guards against a change that blocks all later ones: a rank can't load the weights of a map, so the change does not
+// complete. Unless it is withdrawn, the group does not follow the next shift of demand.
 TEST_CASE("MapScheduler: withdraws a map change that does not complete in time")
 {
     Rig rig;
@@ -97,9 +97,9 @@
     CHECK(rig.withdrawals == 1);
 }
 
-// Guards against planning that starves the reads of the engine: a plan took a quarter of a second on a slot of 0.15
-// cores and was repeated at every poll on the thread that reads the engine. Reads timed out, and counts of the next
-// demand arrived late.
+// Guards against planning that delays the reads of the engine. On a slot of 0.15 cores, a plan took a quarter of a
+// second and was repeated at every poll, on the thread that also reads the engine. Reads timed out, and counts of the
+// next demand arrived late.
 TEST_CASE("MapScheduler: a rejected plan is repeated only after a delay or a shift of demand")
 {
     Rig rig;
@@ -129,9 +129,9 @@
     CHECK(rig.reasons.size() == 1);
 }
 
-// Guards against a late first change: a group forms again after a power loss, with a map that suits no demand, and all
-// of its streams are late until the first change. Rank 0 polled before its ranks had counted anything, found nothing to
-// plan, and tried again only a quarter of a second later.
+// Guards against a late first change. After a power loss a group forms again with a map that suits no demand, and all
+// of its streams are slow until the first change. Rank 0 polled before its ranks had counted any tokens, found no
+// change worth making, and tried again only a quarter of a second later.
 TEST_CASE("MapScheduler: plans as soon as demand is known")
 {
     Rig rig;
@@ -143,9 +143,9 @@
     CHECK(rig.requestedMaps.size() == 1);
 }
 
-// Guards against useless copies: hundreds of groups share the work of a few, and each copies experts with every shift
-// of demand. No request gets faster, because a pass with little work lasts as long with any map. The same imbalance in
-// a busy group delays all of its streams.
+// Guards against useless copies. When hundreds of groups share the work of a few, each group would copy experts with
+// every shift of demand. No request would get faster, because a pass with little work lasts as long with any map. In a
+// busy group the same imbalance delays all streams, so a busy group must change its map.
 TEST_CASE("MapScheduler: a group with little work keeps its map, and a busy group changes it")
 {
     auto requestsWithPassTime = [](milliseconds passTime) {
--- a/test/process/requests_test.cc
+++ b/test/process/requests_test.cc
@@ -58,9 +58,9 @@
     CHECK(fleet.runsOf("two vans") == 1);
 }
 
-// Guards against a connection that goes silent: a device between entry and agent loses the connection's state, so that
-// neither bytes nor errors arrive, while new connections work. The stream must resume with no word missing or repeated,
-// and the engine must run the request once.
+// Guards against a connection that no longer responds: a device between entry and agent loses the connection's state,
+// so that neither bytes nor errors arrive, while new connections work. The stream must resume with no word missing or
+// repeated, and the engine must run the request once.
 TEST_CASE("Requests: a stream continues on a new connection when the old one goes silent")
 {
     Fleet fleet({ .engines = 1, .hasRelays = true });
@@ -140,9 +140,9 @@
     CHECK(fleet.runsOf(first.body) == 1);
 }
 
-// Guards against running an order twice after its record is lost: all agents that know the order are killed while it runs,
-// and new agents start in their slots without any state. When the caller resends the order, it must get the verdict "may
-// have run".
+// Guards against running an order twice after its record is lost: all agents that know the order are killed while the
+// order runs, and new agents start in their slots without any state. When the caller resends the order, the caller must
+// get the verdict "may have run".
 TEST_CASE("Requests: an order with a key does not run again when every agent has lost its record")
 {
     Fleet fleet({ .entries = 2, .engines = 0, .plainServers = 3 });
@@ -220,8 +220,8 @@
     CHECK_THAT(got.body, Catch::Matchers::Contains("event: swiftloft\ndata: {\"reason\":10"));
 }
 
-// Guards against a frozen agent, as when its machine stalls: it stops while an order runs and resumes later without
-// noticing the pause, after the caller got the verdict "may have run". The order must have run at most once, and new
+// Guards against an agent that freezes, as when its machine stalls. It stops while an order runs, and resumes without
+// noticing the pause after the caller got the verdict "may have run". The order must have run at most once, and new
 // requests must have been sent to the other server.
 TEST_CASE("Requests: an agent that freezes and resumes late runs nothing twice")
 {
@@ -327,9 +327,10 @@
     CHECK(fleet.runsAt(fleet.engine(0)) == before);
 }
 
-// Guards against shares that are not lent, and against a sum over the entries that exceeds the limit. An organisation may
-// send 20 requests per second. When it sends them to one of three entries, the other two lend their shares, so it is not
-// limited to a third. When it sends three times as much to all entries, it gets no more than its limit plus its burst.
+// Guards against entries that don't lend their unused shares of a limit, and against a sum over the entries that
+// exceeds the limit. An organisation may send 20 requests per second. When it sends them to one of three entries, the
+// other two lend their shares, so the organisation is not limited to a third. When it sends three times as much to all
+// entries, it gets no more than its limit plus its burst.
 TEST_CASE("Limits: unused shares are lent, and the sum over entries keeps the limit")
 {
     Fleet fleet({ .entries = 3, .engines = 0, .plainServers = 2, .settings = "[organisation limited]\nrequests-per-second = 20/s\nburst = 1s\nmax-in-flight = 1000\n" });
--- a/test/rank-engine_test.cc
+++ b/test/rank-engine_test.cc
@@ -273,9 +273,9 @@
     }
 }
 
-// Guards against long pauses at a switch: engines leave a third of the commands unanswered for a while. Each lost
-// response was waited for and then retried by the coordinator. The group stopped at the switch meanwhile, and its
-// streams paused for longer than callers tolerate.
+// Guards against long pauses at a switch when engines leave a third of the commands unanswered for a while. The agent
+// waited for each lost response, and only the coordinator retried the command. Meanwhile the group stopped at the
+// switch, and its streams paused for longer than callers tolerate.
 TEST_CASE("Rank engine: with a third of the commands unanswered, a change stops the group only briefly")
 {
     int held = 0;
@@ -343,10 +343,10 @@
     }
 }
 
-// Guards against a pause of all streams of a group for as long as one machine stalls, which is seconds. The machine
-// belongs to a rank other than 0 and stalls during a change, when its rank is armed and rank 0 knows it: its engine had
-// been ordered to hold the group, and no other agent could reach the engine. Before rank 0 knows that the rank is
-// armed, no agent can tell whether the rank is about to switch.
+// Guards against a pause of all streams of a group for as long as one machine stalls, which is seconds. The machine of
+// a rank other than 0 stalls during a change, when its rank is armed and rank 0 knows that. The failure came about
+// because the stalled rank's engine had been ordered to hold the group, and no other agent could reach that engine.
+// Before rank 0 knows that the rank is armed, no agent can tell whether the rank is about to switch.
 TEST_CASE("Rank engine: a machine of another rank that stalls during a change does not stop the group")
 {
     constexpr int turnsOfSecond = 1000 / static_cast<int>(rig::turnDuration.count());
@@ -413,8 +413,9 @@
 }
 
 // Guards against a step that is computed under two maps. An agent reads its engine between the hold and the switch of
-// an order. When the response arrives the order is completed, and the agent mistakes the hold for one that was left
-// behind. If it releases the hold, the rank switches while others are not armed yet.
+// an order. When the response to the read arrives, the order is completed, and the agent mistakes the hold in the
+// response for one that was left behind. If the agent releases this hold, the rank switches while others are not armed
+// yet.
 TEST_CASE("Rank engine: a view read before an order was completed releases nothing")
 {
     FakeEngineGroup group(2, false, {}, 1);
@@ -474,8 +475,8 @@
         group.advance();
     finish(Arm { { target, StepNumber(group.steps() + 3) } }, std::nullopt);
     CHECK(group.isHeld());
-    // The neighbour is held first and released once rank 0 is held. Both waits together stay within the time that one
-    // read of an engine may take.
+    // The neighbour is held first, and is released once rank 0 is held. Both waits together stay within the time that
+    // one read of an engine may take.
     REQUIRE(waits.size() == 2);
     CHECK(waits[0] + waits[1] < milliseconds(40));
 }
