--- a/src/agent/engine-port.h
+++ b/src/agent/engine-port.h
@@ -35,7 +35,7 @@
     /// Map whose weights the engine has loaded but that the rank does not run yet.
     std::optional<MapVersion> prepared;
     std::optional<expertmap::SwitchPoint> armed;
-    /// The group does not begin this step before the rank is released.
+    /// The rank is held before this step: the group does not begin the step until the rank is released.
     std::optional<StepNumber> heldStep;
 };
 
@@ -47,7 +47,8 @@
     std::vector<std::vector<ExpertIndex>> experts;
 };
 
-/// One call that changes the state of the engine. Each command names the epoch that it is meant for.
+/// One call that changes the state of the engine. Each command contains the epoch of the group for which the command is
+/// meant.
 struct EngineCommand {
     enum class Kind {
         /// Loads the weights of `map` beside the current ones.
--- a/src/agent/events.h
+++ b/src/agent/events.h
@@ -19,7 +19,8 @@
 /// clock.
 namespace swiftloft::agent {
 
-/// Identifies one RPC call of an entry. Several calls may refer to the same ticket.
+/// Identifies one RPC call of an entry. Several calls may refer to the same ticket, the identifier that an entry gives
+/// to one attempt at a request.
 using CallId = Strong<struct CallIdTag, std::uint64_t>;
 /// Identifies a request at this agent by its ticket. Unique within this incarnation.
 using RunId = Strong<struct RunIdTag, std::string>;
--- a/src/agent/map-scheduler.cc
+++ b/src/agent/map-scheduler.cc
@@ -61,7 +61,8 @@
         return false;
     auto shiftedAt = m_loadCollector.planner().shiftedAt();
     bool isSettled = !shiftedAt || *shiftedAt + settleTime <= now;
-    // A shift of demand ends the delay after a rejected plan.
+    // A shift of demand ends the delay after a rejected plan, because the rejected plan was made for the earlier
+    // demand.
     bool hasShifted = shiftedAt && *shiftedAt + rejectedPlanDelay > m_nextPlanAt;
     return isSettled && (now >= m_nextPlanAt || hasShifted);
 }
--- a/src/agent/map-store.h
+++ b/src/agent/map-store.h
@@ -29,7 +29,8 @@
     }
 
 private:
-    /// A change involves two maps. A few more avoid fetching a map again after a postponed change.
+    /// A change involves two maps, the old and the new one. A few more are kept so that a map need not be fetched again
+    /// after a postponed change.
     static constexpr std::size_t maxMaps = 8;
 
     std::deque<expertmap::VersionedMap> m_maps;
--- a/src/agent/rank-engine.cc
+++ b/src/agent/rank-engine.cc
@@ -31,8 +31,8 @@
 /// Fences are derived from the time of day. If the clock was set back between two agents in this slot, the fences of
 /// the earlier agent may be ahead by up to this number.
 constexpr std::uint64_t fenceJump = 10'000'000;
-/// Timeout of a command to the neighbour's engine. Rank 0 holds the group while it waits for the response. If the
-/// command has no effect, the neighbour's own agent repairs the state of its engine.
+/// Timeout of a command to the neighbour's engine. The group may be held during this wait, so the timeout is short. If
+/// the command is lost or takes effect late, the neighbour's own agent repairs the state of its engine.
 constexpr milliseconds neighbourTimeout = resendTimeout;
 /// Time for which only the neighbour is held: a few round trips between instances. Each change of the map takes longer
 /// by this time.
@@ -202,8 +202,8 @@
 asio::awaitable<void> RankEngine::sendToNeighbour(EngineCommand::Kind kind, StepNumber step)
 {
     try {
-        // This command has no fence. With one, the neighbour's engine could then reject the commands of its own agent,
-        // whose fences may be lower.
+        // This command has no fence. If it had one, the neighbour's engine could reject later commands of its own
+        // agent, whose fences may be lower.
         co_await m_neighbour->command({ kind, m_epoch, 0, MapVersion(0), step, nullptr }, m_now() + neighbourTimeout);
     } catch (const boost::system::system_error& error) {
         log::write(log::Event::EngineOrderLost, "order={}-neighbour problem=\"{}\"", nameOf(kind), log::problemOf(error));
--- a/src/agent/rank-engine.h
+++ b/src/agent/rank-engine.h
@@ -10,12 +10,13 @@
 namespace swiftloft::agent {
 
 /// Executes a rank agent's orders on an engine whose commands are simpler than the orders: a hold at one rank holds the
-/// whole group, and the engine does not reject late commands by their state. Must be used on the control thread only.
+/// whole group, and the engine's checks of its own state don't reject every late command. Must be used on the control
+/// thread only.
 ///
 /// Only the engine of rank 0 is held. It is armed before all others and released when all are armed. No rank begins a
-/// step that one rank holds, so no rank reaches the switch before every rank is armed for it. Commands are sent one at
-/// a time, each with a higher fence than the previous one: once a command has been answered, no copy of an earlier
-/// command can be executed any more.
+/// step that one rank holds, so no rank reaches the switch to the new map before every rank is armed for it. Commands
+/// are sent one at a time, each with a higher fence than the previous one. Once a command has been answered, an engine
+/// that checks fences therefore executes no late copy of an earlier command.
 class RankEngine {
 public:
     using Now = std::function<TimePoint()>;
--- a/src/entry/loan.capnp
+++ b/src/entry/loan.capnp
@@ -1,5 +1,5 @@
-# Messages by which entries lend each other unused shares of an organisation's limit. Control nodes carry them as notes.
-# The protocol tolerates lost, duplicated and delayed messages.
+# Messages with which entries lend each other unused parts of an organisation's limit. The control nodes of the entries
+# transport them as notes. The protocol tolerates lost, duplicated and delayed messages.
 
 @0xf5c6641cd4a77feb;
 
