--- a/src/agent/map-status.cc
+++ b/src/agent/map-status.cc
@@ -2,6 +2,7 @@
 
 #include <boost/json.hpp>
 
+/// The status page of `MapControl`, as JSON.
 namespace swiftloft::agent {
 
 namespace json = boost::json;
--- a/src/agent/rank-engine.cc
+++ b/src/agent/rank-engine.cc
@@ -31,8 +31,8 @@
 /// Fences are derived from the time of day. If the clock was set back between two agents in this slot, the fences of
 /// the earlier agent may be ahead by up to this number.
 constexpr std::uint64_t fenceJump = 10'000'000;
-/// Timeout of a command to the neighbour's engine. The group may be held during this wait, so the timeout is short. If
-/// the command is lost or takes effect late, the neighbour's own agent repairs the state of its engine.
+/// Timeout of a command to the neighbour's engine. Rank 0 may hold the group during this wait, so the timeout is short.
+/// If the command is lost or takes effect late, the neighbour's own agent repairs the state of its engine.
 constexpr milliseconds neighbourTimeout = resendTimeout;
 /// Time for which only the neighbour is held: a few round trips between instances. Each change of the map takes longer
 /// by this time.
