--- a/src/agent/rank-engine.h
+++ b/src/agent/rank-engine.h
@@ -10,20 +10,22 @@
 namespace swiftloft::agent {
 
 /// Executes a rank agent's orders on an engine whose commands are simpler than the orders: a hold at one rank holds the
-/// whole group, and the engine does not reject late commands by their state. Must be used on the control thread only.
+/// whole group, and the engine's checks of its own state don't reject every late command. Must be used on the control
+/// thread only.
 ///
 /// Only the engine of rank 0 is held. It is armed before all others and released when all are armed. No rank begins a
-/// step that one rank holds, so no rank reaches the switch before every rank is armed for it. Commands are sent one at
-/// a time, each with a higher fence than the previous one: once a command has been answered, no copy of an earlier
-/// command can be executed any more.
+/// step that one rank holds, so no rank reaches the switch to the new map before every rank is armed for it. Commands
+/// are sent one at a time, each with a higher fence than the previous one. Once a command has been answered, an engine
+/// that checks fences therefore executes no late copy of an earlier command.
 class RankEngine {
 public:
     using Now = std::function<TimePoint()>;
 
     RankEngine(EnginePort port, RankIndex rank, std::uint64_t epoch, std::uint64_t initialFence, Now now = Clock::now);
 
-    /// Sets the engine of another rank that is held briefly before the engine of rank 0. If the machine of rank 0
-    /// stalls just as it begins to hold the group, the held engine is one whose own agent can release it.
+    /// Sets the engine of another rank that is held briefly before the engine of rank 0. The machine of rank 0 may
+    /// stall just as it begins to hold the group. In that case only the neighbour's engine is held, and the neighbour's
+    /// own agent can release it.
     void setNeighbour(EnginePort port) { m_neighbour = std::move(port); }
     bool hasNeighbour() const { return m_neighbour.has_value(); }
 
@@ -46,7 +48,7 @@
 private:
     boost::asio::awaitable<EngineView> read();
     boost::asio::awaitable<bool> command(EngineCommand::Kind kind, MapVersion version, StepNumber step, const expertmap::ExpertMap* map = nullptr);
-    /// Like `command`, but sends once. For commands of which a late copy could undo the next one.
+    /// Like `command`, but sends the command only once. For commands of which a late copy could undo the next command.
     boost::asio::awaitable<bool> commandOnce(EngineCommand::Kind kind, MapVersion version, StepNumber step);
     boost::asio::awaitable<bool> execute(EngineCommand command, int maxAttempts);
     /// Sends `command` up to `maxAttempts` times, each time with a new fence.
@@ -71,7 +73,7 @@
     /// Map whose weights are being loaded, and the time before which the load is not requested again.
     std::optional<MapVersion> m_preparing;
     TimePoint m_nextPrepareAt;
-    /// Switch that this agent has released the rank for.
+    /// The switch to a new map for which this agent released the rank last.
     std::optional<expertmap::SwitchPoint> m_releasedPoint;
 };
 
