--- a/include/swiftloft/expertmap/coordinator.h
+++ b/include/swiftloft/expertmap/coordinator.h
@@ -19,13 +19,14 @@
 struct HelloReceived {
     RankHello hello;
 };
-/// The group is to run with `version` from now on, also after restarts. Replaces an earlier request; a switch for which
-/// a rank may already be armed is completed first.
+/// The group is to run with `version` from now on, also after restarts. Replaces an earlier request. If a rank may
+/// already be armed for a switch (ordered to hold before the switch step until a `Go` or a `Cancel`), that switch is
+/// completed first.
 struct MapChangeRequested {
     MapVersion version;
 };
-/// The request is withdrawn and the group keeps its current map. A switch for which a rank may already be armed is
-/// completed.
+/// The request is withdrawn and the group keeps its current map. If a rank may already be armed for a switch, that
+/// switch is still completed.
 struct MapChangeWithdrawn { };
 /// Time has passed. The caller delivers this event at least every `Options::retryInterval`.
 struct Ticked { };
@@ -91,8 +92,8 @@
         /// Map with which engines are admitted when no rank of the group has a map (first start, or all ranks
         /// restarted) and none has been requested.
         MapVersion initial;
-        /// Number of ranks that load weights at the same time. Keeps the group within its share of the weight store's
-        /// transfer rate.
+        /// Number of ranks that load weights at the same time. Limits the part of the weight store's transfer rate that
+        /// the group uses.
         std::uint32_t maxStagingRanks { 1 };
         /// Steps between the newest known step and the first switch step that is tried. Doubled each time a rank
         /// reaches the switch step before it is armed.
@@ -108,9 +109,10 @@
         /// that together last at least this long. The lead covers the arming of all ranks, which takes a certain time
         /// rather than a number of steps.
         milliseconds leadTime { 0 };
-        /// Shortest time over which the duration of a step is measured. Reports of two ranks that were read just before
-        /// and just after the start of a step arrive within a millisecond. A measurement between the two would take the
-        /// step to be that short, and the switch would be scheduled up to `maxLeadSteps` ahead, seconds late.
+        /// Shortest time over which the duration of a step is measured. If one rank is read just before and another
+        /// just after the start of a step, the two reports arrive within a millisecond of each other. If the duration
+        /// were measured between these reports, a step would seem that short, and the switch would be scheduled up to
+        /// `maxLeadSteps` ahead, seconds late.
         milliseconds minStepMeasurementTime { 200 };
     };
 
@@ -187,6 +189,7 @@
     /// `m_freshAfterRound`.
     std::vector<Incarnation> m_unadmittedEngines;
     std::uint64_t m_freshAfterRound { 0 };
+    /// True once this coordinator has had the status of every rank and was able to send orders other than reads.
     bool m_hasLed { false };
 };
 
--- a/include/swiftloft/expertmap/load-estimate.h
+++ b/include/swiftloft/expertmap/load-estimate.h
@@ -38,8 +38,8 @@
     std::span<const double> slow(LayerIndex layer) const;
     /// Shares by which to split tokens among replicas: the fast average, or the slow one while the layer is volatile.
     std::span<const double> splitShares(LayerIndex layer) const;
-    /// True while demand changes faster than the averages follow. Only moves that gain under the slow average are
-    /// worthwhile then.
+    /// True while demand changes faster than the averages follow. In that state, only moves that gain under the slow
+    /// average are worthwhile.
     bool isVolatile(LayerIndex layer) const;
 
 private:
@@ -50,6 +50,7 @@
         std::vector<double> slowShrunk;
         /// Mean square of the difference between reports and the fast average, averaged over time.
         double residual { 0 };
+        /// Earliest time of the next reset after a shift of demand, and the wait after that reset.
         TimePoint nextResetAt;
         milliseconds nextResetInterval { 0 };
     };
--- a/include/swiftloft/expertmap/planner.h
+++ b/include/swiftloft/expertmap/planner.h
@@ -59,10 +59,10 @@
 
 /// Decides which experts of a rank group to move, and when a move is worth its cost.
 ///
-/// Searches locally from the current map: the expert that makes the slowest rank slow gets a replica in a spare slot
-/// of a fast rank, or is swapped with a less loaded expert. Of all such moves, the planner takes the one with the
-/// best gain in predicted step time per byte, as long as the gain over a horizon exceeds the cost of moving. The
-/// planner reads no clock: the time is passed with each call.
+/// Searches locally from the current map: the expert that makes the slowest rank slow gets a replica in a spare slot of
+/// a fast rank, or is swapped with a less loaded expert. Of all such moves, the planner takes the one with the best
+/// gain in predicted step time per byte, as long as the gain over the next `Options::horizonSteps` steps exceeds the
+/// cost of moving. The planner reads no clock: the time is passed with each call.
 class Planner {
 public:
     struct Options {
@@ -79,9 +79,9 @@
         Bytes bytesPerExpert { 44'000'000 };
         /// Number of steps over which a gain is counted; about five minutes at 6 ms per step.
         double horizonSteps { 50'000 };
-        /// Cost, in steps, of moving one expert in every layer at weight 1. Counted this way, the weights mean the
-        /// same for models with few and with many layers: a layer's fraction of the step and its fraction of the cost
-        /// shrink alike.
+        /// Cost, in steps, of moving one expert in every layer at weight 1. A move in a single layer costs this value
+        /// divided by the number of layers. In a model with more layers, each layer's fraction of the step time shrinks
+        /// alike, so the weights mean the same for models with few and with many layers.
         double moveCostSteps { 100 };
         /// Minimum gain of a move, as a fraction of its layer's time. Noise alone can produce smaller apparent gains.
         double minGain { 0.002 };
@@ -101,8 +101,8 @@
     /// Sets the relative speed of each rank, 1 for normal, as measured by `StragglerDetector`. A slow rank is
     /// assigned fewer tokens.
     std::optional<Error> setSpeeds(std::vector<double> speeds);
-    /// Plans the next map. The planner assumes that the plan is carried out: call `setCurrent` if the change is
-    /// abandoned.
+    /// Plans the next map. The planner assumes that the plan is carried out. If the change is abandoned, call
+    /// `setCurrent` with the map that the group keeps.
     Plan plan(TimePoint now, std::uint32_t minuteOfDay);
     void setCurrent(const ExpertMap& map);
 
@@ -126,7 +126,7 @@
     std::vector<double> m_speeds;
     /// Time until which each slot keeps its expert, by layer and slot.
     std::vector<TimePoint> m_pinnedUntil;
-    /// Time at which the capped rate has paid for all bytes moved so far.
+    /// Time at which `Options::bytesPerMinute` will have allowed for all bytes moved so far.
     TimePoint m_budgetRestoredAt;
 };
 
--- a/include/swiftloft/expertmap/protocol.h
+++ b/include/swiftloft/expertmap/protocol.h
@@ -67,8 +67,8 @@
 struct ReadStatus {
     friend bool operator==(const ReadStatus&, const ReadStatus&) = default;
 };
-/// Loads the weights of `version` beside the current map. The engine responds at once; the map appears in `staged` when
-/// loading has finished.
+/// Loads the weights of `version` beside the current map. The engine responds immediately; the map appears in `staged`
+/// when loading has finished.
 struct StageMap {
     MapVersion version;
 
@@ -80,8 +80,8 @@
 
     friend bool operator==(const DropMaps&, const DropMaps&) = default;
 };
-/// Lets a started engine step with `version`. If `arm` is set, the engine is armed for it from the start. Ignored once
-/// the engine is admitted.
+/// Lets a started engine step with `version`. If `arm` is set, the engine is armed for that switch point from the
+/// start. Ignored once the engine is admitted.
 struct Admit {
     MapVersion version;
     std::optional<SwitchPoint> arm;
--- a/include/swiftloft/expertmap/rank-agent.h
+++ b/include/swiftloft/expertmap/rank-agent.h
@@ -61,7 +61,7 @@
 
 } // namespace rank
 
-/// The rank's side of a map change, run by the agent in the slot of each rank, rank 0 included.
+/// The rank's side of a map change, run by the agent of each rank, rank 0 included.
 ///
 /// The agent forwards the coordinator's orders to its engine, one at a time, and reports the engine's status. It keeps
 /// no state that is needed after a restart: a new agent reads the engine's status before it forwards any order.
@@ -70,8 +70,9 @@
     struct Options {
         RankIndex rank;
         Incarnation incarnation;
-        /// From the settings of the backend server. When false, the agent does the fencing: it reads the engine's
-        /// status just before each order and forwards the order only if it is still valid.
+        /// True when the engine itself refuses orders with an outdated fencing number, according to the settings of the
+        /// backend server. When false, the agent does this check: it reads the engine's status just before each order
+        /// and forwards the order only if it is still valid.
         bool engineChecksFences { false };
         /// Time without a response after which the engine is read again.
         milliseconds engineTimeout { 50 };
@@ -110,7 +111,8 @@
     std::optional<EngineStatus> m_status;
     /// The coordinator's order that is being carried out.
     std::optional<RankOrder> m_currentOrder;
-    /// The newest order that arrived meanwhile. It supersedes older ones; the coordinator repeats the orders it needs.
+    /// The newest order that arrived while `m_currentOrder` was being carried out. Older ones are dropped, because the
+    /// coordinator repeats the orders that it still needs.
     std::optional<RankOrder> m_nextOrder;
     /// True once the order of `m_currentOrder` itself has been sent, after any read of the engine's status that
     /// precedes it.
--- a/include/swiftloft/expertmap/replica-planner.h
+++ b/include/swiftloft/expertmap/replica-planner.h
@@ -60,8 +60,9 @@
     /// down its whole group, so the planner gives it the experts with the least demand. Values that are below 1 or
     /// not finite count as 1.
     void setPace(RankIndex rank, double pace);
-    /// Plans the next map from `current`. The plan has no map when no change is worthwhile. `loadShare` is the
-    /// fraction of a step that depends on the tokens, 0 to 1: no map shortens the steps of a group with little work.
+    /// Plans the next map from `current`. The plan has no map when no change is worthwhile. `loadShare` is the fraction
+    /// of the step time that depends on the number of tokens, 0 to 1. It is small for a group with little work, and
+    /// then no map shortens the steps by much.
     Plan plan(const ExpertMap& current, double loadShare = 1) const;
     /// Returns how many times as long as usual a token takes on the slowest rank.
     double slowestPace() const;
@@ -69,9 +70,9 @@
     /// the layers; 1 is balanced. Returns 0 while no tokens are known.
     double imbalance(const ExpertMap& map) const;
     bool hasEnoughTokens() const;
-    /// Returns the time of the last report that indicated a shift; unset before the first shift. Reports around a
-    /// shift contain tokens of both demands, so the first report after a shift is not a reliable basis for a plan; a
-    /// second one similar to it is.
+    /// Returns the time of the last report that indicated a shift; unset before the first shift. The report that
+    /// indicates a shift may contain tokens of the old and of the new demand, so it is not a reliable basis for a plan.
+    /// A second report that is similar to the first one is a reliable basis.
     std::optional<TimePoint> shiftedAt() const { return m_shiftedAt; }
 
 private:
--- a/include/swiftloft/membership/types.h
+++ b/include/swiftloft/membership/types.h
@@ -74,9 +74,9 @@
 /// One incarnation of a process, ordered relative to other incarnations of the same `NodeId`.
 ///
 /// `Incarnation` values are random and have no order. `generation` provides the order: it is the wall-clock time of the
-/// process start in milliseconds. Clocks of two instances may differ, so a process that receives a higher incarnation
-/// for its own id than its own raises its generation above that one, unless the published list gives another address
-/// for the id, which means that the process has been replaced.
+/// process start in milliseconds. Clocks of two instances may differ, so a process may receive a higher incarnation for
+/// its id than its own. It then raises its generation above the received one. It does not do so if the published list
+/// gives another address for the id, because the process has then been replaced.
 struct OrderedIncarnation {
     std::uint64_t generation { 0 };
     Incarnation id;
--- a/src/expertmap/coordinator.cc
+++ b/src/expertmap/coordinator.cc
@@ -56,9 +56,9 @@
     if (report.rank.value() >= m_ranks.size())
         return;
     if (report.promised > m_fence) {
-        // Failure: this process was frozen and another one took over rank 0. Two coordinators that keep outbidding each
-        // other's fencing number would block all changes, so one that has already led steps down for good. One that has
-        // only just started takes a higher number.
+        // Another process may have taken over rank 0 while this one was frozen. If both coordinators kept taking a
+        // higher fencing number than the other, no change could proceed. So a coordinator that has already led steps
+        // down permanently. One that has only just started takes a higher number.
         if (m_hasLed) {
             m_phase = CoordinatorPhase::SteppedDown;
             effects.push_back(SteppedDown { report.promised });
@@ -68,8 +68,8 @@
         return;
     }
     auto& view = m_ranks[report.rank.value()];
-    // Failure: reports overtake each other. The status was read after the order of its round arrived, so a report of a
-    // higher round is never older than the known status.
+    // Reports can overtake each other in transit. An agent reads the status after the order of a round has arrived, so
+    // a report of a higher round is never older than the known status. All other reports are ignored.
     if (report.promised != m_fence || report.round <= view.round || !report.status)
         return;
     view.round = report.round;
@@ -175,9 +175,9 @@
 
 void Coordinator::advance(TimePoint now, Effects& effects)
 {
-    // Failure: a coordinator died after it had sent `Go` to some ranks but not to others. Its successor can't know the
-    // outcome before it has the status of every rank, so until then it only reads. Each answered read also binds that
-    // rank's agent to the newer fencing number.
+    // An earlier coordinator may have died after it had sent `Go` to some ranks but not to others. Its successor can't
+    // know the outcome before it has the status of every rank, so until then it only reads. Each answered read also
+    // binds that rank's agent to the newer fencing number.
     if (!hasAllStatuses()) {
         m_phase = CoordinatorPhase::Inquiring;
         for (auto rank : ranksWithoutStatus())
@@ -283,9 +283,9 @@
     m_phase = CoordinatorPhase::Admitting;
     bool isNew = std::any_of(engines.begin(), engines.end(), [this](auto engine) { return std::find(m_unadmittedEngines.begin(), m_unadmittedEngines.end(), engine) == m_unadmittedEngines.end(); });
     m_unadmittedEngines = std::move(engines);
-    // Failure: an engine restarts just as the others switch. The known status of the others may be from before the
-    // switch, and the engine would be admitted with the old map. All ranks are therefore read again after the restart
-    // was detected.
+    // An engine may restart just as the others switch. The known status of the others may then be from before the
+    // switch, and the engine would be admitted with the old map. All ranks are therefore read again after a restart has
+    // been detected.
     if (isNew) {
         m_freshAfterRound = m_round;
         for (auto& view : m_ranks)
@@ -296,8 +296,9 @@
         readAll(now, m_options.retryInterval, effects);
         return true;
     }
-    // Failure: while no rank is admitted, a late order of an earlier coordinator could admit one rank with another map.
-    // Rank 0 is therefore admitted first and alone, and all other ranks follow the map that its engine then reports.
+    // While no rank is admitted, a late order of an earlier coordinator could admit one rank with another map than the
+    // rest. Rank 0 is therefore admitted first and alone, and all other ranks follow the map that its engine then
+    // reports.
     bool isNoRankAdmitted = m_unadmittedEngines.size() == m_ranks.size();
     std::uint32_t end = isNoRankAdmitted ? 1 : static_cast<std::uint32_t>(m_ranks.size());
     for (std::uint32_t r = 0; r < end; ++r) {
@@ -311,8 +312,8 @@
 {
     auto& status = *m_ranks[rank].status;
     auto version = groupMap();
-    // The other ranks may be before or in the switch step. An engine that is armed from its start is correct in both
-    // cases.
+    // The other ranks may not have reached the switch step yet, or may already have entered it. An engine that is armed
+    // from its start is correct in both cases, because it does not pass the switch step without a `Go` or a `Cancel`.
     bool hasSwitched = point && version == point->version;
     if (!status.hasStaged(version))
         send(now, rank, StageMap { version }, effects);
@@ -336,7 +337,7 @@
     }
     if (loading == 0)
         return true;
-    // Failure: loading takes minutes. Without reads, the other ranks would send no report in that time and would be
+    // Loading takes minutes. If the other ranks were not read in that time, they would send no reports and would be
     // listed as silent.
     for (auto r : otherRanks)
         send(now, r, ReadStatus {}, effects, m_options.idleReadInterval);
@@ -351,8 +352,8 @@
     m_phase = CoordinatorPhase::Arming;
     if (!m_switchPoint)
         m_switchPoint = SwitchPoint { version, StepNumber(newestStep().value() + effectiveLeadSteps()) };
-    // Failure: see "Rank 0 is armed first" in docs/design/expert-maps.md. A successor must find this switch point armed
-    // at rank 0 whenever any rank could have been sent a `Go`.
+    // A successor must find this switch point armed at rank 0 whenever any rank could have been sent a `Go`. Rank 0 is
+    // therefore armed first; see "Rank 0 is armed first" in docs/design/expert-maps.md.
     send(now, 0, Arm { *m_switchPoint }, effects);
 }
 
@@ -366,9 +367,10 @@
     m_measuredAt = now;
 }
 
-/// Failure: with a lead that is too short, the group waits at the switch step until the last rank is armed; with one
-/// that is too long, it keeps running with a map that no longer fits the load. Steps with uneven load are slow, so a
-/// lead counted in steps lasts longest just when the change is needed most.
+/// Returns the lead: the number of steps from the newest known step to the switch step. If the lead is too short, the
+/// group waits at the switch step until the last rank is armed. If the lead is too long, the group keeps running with a
+/// map that no longer fits the load. Steps with uneven load are slow, so a fixed number of steps would last longest
+/// just when the change is needed most. `leadTime` is therefore converted to steps where it is set.
 std::uint64_t Coordinator::effectiveLeadSteps() const
 {
     auto steps = m_options.leadSteps;
--- a/src/expertmap/engine-json.cc
+++ b/src/expertmap/engine-json.cc
@@ -32,7 +32,7 @@
     return { { "ranks", shape.ranks }, { "layers", shape.layers }, { "experts", shape.experts }, { "slots_per_rank", shape.slotsPerRank }, { "slots", std::move(slots) } };
 }
 
-/// Writes the fields of an order.
+/// Visitor that adds the fields of an `Order` to the JSON object `out`. A `ReadStatus` has no fields.
 struct OrderWriter {
     json::object& out;
 
--- a/src/expertmap/layer-model.cc
+++ b/src/expertmap/layer-model.cc
@@ -11,7 +11,7 @@
 constexpr std::uint32_t emptySlot = noExpert.value();
 constexpr int initialSweeps = 4;
 constexpr int sweepsAfterChange = 2;
-/// Order of the norm, a power of two.
+/// Order of the norm that approximates the maximum, see `LayerModel::norm`. Must be a power of two.
 constexpr int normOrder = 32;
 
 double toNormOrder(double value)
--- a/src/expertmap/layer-model.h
+++ b/src/expertmap/layer-model.h
@@ -7,7 +7,8 @@
 #include <vector>
 
 /// Predicts the time of one layer under a placement. The tokens of an expert are split among its replicas so that the
-/// ranks that hold it finish as evenly as possible. All times are in tokens at speed 1.
+/// ranks that hold it finish as evenly as possible. All times are given as the number of tokens that a rank of speed 1
+/// processes in that time.
 namespace swiftloft::expertmap::internal {
 
 /// Puts `expert` into `slot` and drops the content of the slot. If `swapSlot` is set, the content moves there
--- a/src/expertmap/layer-search.cc
+++ b/src/expertmap/layer-search.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Bounds of the search from one placement: the number of slowest ranks, of the experts that contribute most to their
-/// load, and of fastest ranks.
+/// Bounds of the search from one placement. The search examines this many of the slowest ranks, of the experts that
+/// contribute most to the load of such a rank, and of the fastest ranks as destinations.
 constexpr std::size_t hotRanks = 2;
 constexpr std::size_t hotSlots = 3;
 constexpr std::size_t coldRanks = 6;
--- a/src/expertmap/layer-search.h
+++ b/src/expertmap/layer-search.h
@@ -29,7 +29,8 @@
 
     /// Predicted time of the layer relative to its mean time.
     double relativeTime() const { return m_fast.norm(); }
-    /// Predicted time of the layer above its mean time, relative to the mean. No change gains more.
+    /// Amount by which the predicted time of the layer exceeds its mean time, as a fraction of the mean. No change can
+    /// gain more than this.
     double excess() const;
     /// Applies the change with the best gain per moved expert, if that gain is at least `minGain` and the change
     /// moves at most `budget` experts. Adds the number of predictions made to `predictions`.
--- a/src/expertmap/load-estimate.cc
+++ b/src/expertmap/load-estimate.cc
@@ -10,8 +10,9 @@
 
 namespace {
 
-/// Minimum distance between a report and the slow average that counts as a shift of demand, as a fraction of the sum
-/// of their spreads. 1 means that the two are unrelated; the steepest of ordinary mornings stays below a third.
+/// Minimum distance between a report and the slow average that counts as a shift of demand, as a fraction of the sum of
+/// their spreads. A value of 1 means that report and average are unrelated. On ordinary mornings, even the steepest
+/// change of demand stays below a third.
 constexpr double minShiftOverSpread = 0.5;
 /// A shift must also be this many times farther from the slow average than reports usually are from the fast one.
 constexpr double minShiftOverNoise = 4;
@@ -120,9 +121,9 @@
     shrink(layer.slow, layer.residual * slowWeight / 2, layer.slowShrunk);
 }
 
-/// Failure: after a sudden shift of demand the averages lag for an hour, so plans that must be good under both come
-/// late. Both averages are therefore reset to the report. Resets become less and less frequent, so that oscillating
-/// demand can't make the averages follow each swing.
+/// After a sudden shift of demand, the averages would lag for an hour. A plan must be good under both averages, so
+/// plans would come that late. Both averages are therefore reset to the report. Resets become less and less frequent,
+/// so that oscillating demand can't make the averages follow each swing.
 void LoadEstimate::resetOnShift(Layer& layer, TimePoint now, std::span<const double> report)
 {
     double distance = meanSquare(report, layer.slow);
--- a/src/expertmap/rank-agent.cc
+++ b/src/expertmap/rank-agent.cc
@@ -54,16 +54,16 @@
 {
     if (order.rank != m_options.rank)
         return;
-    // Failure: a coordinator that was frozen wakes after its replacement has started and repeats its orders. Its
-    // fencing number is older, so none of its orders reaches the engine. The newer number in the report shows it that it
-    // has been superseded.
+    // A coordinator that was frozen may wake after its replacement has started, and repeat its orders. Its fencing
+    // number is older, so none of its orders reaches the engine. The newer number in the report shows this coordinator
+    // that it has been superseded.
     if (order.fence < m_promised) {
         effects.push_back(OrderRefused { order });
         effects.push_back(SendReport { order.fence.holder, { m_options.rank, m_options.incarnation, m_promised, order.round, std::nullopt } });
         return;
     }
     m_promised = order.fence;
-    // Failure: orders overtake each other in transit. Among the orders of one coordinator, a higher round is newer.
+    // Orders can overtake each other in transit. Among the orders of one coordinator, a higher round is newer.
     bool isOlder = m_nextOrder && m_nextOrder->fence == order.fence && order.round < m_nextOrder->round;
     if (!isOlder)
         m_nextOrder = order;
@@ -75,9 +75,9 @@
     if (m_isInFlight || !m_nextOrder)
         return;
     m_currentOrder = std::exchange(m_nextOrder, std::nullopt);
-    // Failure: this agent has just started, or its engine ignores fencing numbers and may have received orders from an
-    // earlier agent of this slot. The status that this agent remembers may be outdated, so it reads the engine's status
-    // before it forwards an order.
+    // If this agent has just started, it does not know the engine's status. If the engine ignores fencing numbers, it
+    // may have received orders from an earlier agent of this rank, and the status that this agent remembers may be
+    // outdated. In both cases, the agent reads the status before it forwards an order.
     bool mustReadFirst = !m_options.engineChecksFences || !m_status;
     m_isOrderSent = !mustReadFirst;
     sendToEngine(now, mustReadFirst ? Order { ReadStatus {} } : m_currentOrder->order, effects);
@@ -94,8 +94,9 @@
 {
     if (std::holds_alternative<ReadStatus>(order.order))
         return false;
-    // Failure: the engine restarted after the coordinator saw it armed or staged. The order was meant for the earlier
-    // incarnation. The report shows the new incarnation, and the coordinator decides again.
+    // If the engine has restarted since the coordinator read its status, the order was meant for the earlier
+    // incarnation, which was armed or had staged a map. The report shows the new incarnation, and the coordinator
+    // decides again.
     if (order.engine != m_status->engine)
         return false;
     return order.fence == m_promised;
@@ -103,7 +104,7 @@
 
 void RankAgent::onEngineResponse(TimePoint now, const EngineResponded& response, Effects& effects)
 {
-    // Failure: a late response to an order that has timed out would be taken for the response to the order in flight.
+    // A late response to an order that has timed out must not be taken for the response to the order in flight.
     if (!m_isInFlight || response.id != m_lastId)
         return;
     m_isInFlight = false;
@@ -143,8 +144,8 @@
         resetEngineState();
     }
     startNextOrder(now, effects);
-    // Failure: the coordinator died between the first and the last `Go`. This rank holds rather than guess, and sends a
-    // hello to the process that runs rank 0 now.
+    // The coordinator may have died between the first and the last `Go`. This rank can't know the outcome, so it keeps
+    // holding and sends a hello to the process that runs rank 0 now.
     if (isEngineWaiting() && now >= m_nextHelloAt) {
         m_nextHelloAt = now + m_options.helloInterval;
         effects.push_back(SendHello { { m_options.rank, m_options.incarnation } });
--- a/src/expertmap/replica-layer.cc
+++ b/src/expertmap/replica-layer.cc
@@ -22,9 +22,9 @@
 
 } // namespace
 
-/// Reused from one candidate to the next, so that evaluating a candidate neither allocates memory nor visits ranks
-/// that it leaves unchanged. With 64 ranks and 256 experts, a plan takes a third of the time that it takes when every
-/// candidate sums over all ranks.
+/// Load that a candidate change adds to each rank. One object is reused for all candidates, so that evaluating a
+/// candidate neither allocates memory nor visits ranks that the candidate leaves unchanged. With 64 ranks and 256
+/// experts, a plan takes a third of the time that it takes when every candidate sums over all ranks.
 class ReplicaLayer::LoadChanges {
 public:
     explicit LoadChanges(std::uint32_t ranks)
--- a/src/expertmap/replica-layer.h
+++ b/src/expertmap/replica-layer.h
@@ -31,7 +31,8 @@
     /// Returns the time of the slowest rank relative to that of the mean load at the usual pace; 0 without tokens.
     double peakRatio() const;
     /// Finds the change with the best cost reduction per copy among those that take load off the slowest rank.
-    /// `copyBudgets` holds by rank how many more experts it may copy. Returns nothing when no change gains.
+    /// `copyBudgets` holds by rank how many more experts it may copy. Returns `nullopt` when no change reduces the
+    /// cost.
     std::optional<ReplicaChange> findBestChange(std::span<const std::uint32_t> copyBudgets) const;
     void apply(const ReplicaChange& change);
 
--- a/src/expertmap/replica-planner.cc
+++ b/src/expertmap/replica-planner.cc
@@ -69,9 +69,9 @@
     }
     if (totalTokens(layerSlice(m_recentTokens, 0, m_shape)) < m_options.minTokens)
         return std::nullopt;
-    // Failure: after a sudden shift of demand, a plan from a mixture of the old and the new demand copies experts
-    // that are not needed, and every stream is slow while they are copied. Discarding the old demand prevents this:
-    // the first map after a shift is right, instead of only the second.
+    // After a sudden shift of demand, a plan from a mixture of the old and the new demand would copy experts that are
+    // not needed, and every stream would be slow while they are copied. The old demand is therefore discarded, so that
+    // the first map after a shift already fits the new demand, instead of only the second.
     if (detectShift()) {
         m_shiftedAt = now;
         std::fill(m_decayedTokens.begin(), m_decayedTokens.end(), 0.0);
--- a/src/membership/detector-probes.cc
+++ b/src/membership/detector-probes.cc
@@ -77,8 +77,8 @@
 }
 
 // A one-way network fault between two nodes drops the ping or its reply although all others can reach the target. So
-// other members ping it on behalf of this node. One of them is in another data centre, because such faults often occur
-// at the edge of a site.
+// other members ping the target on behalf of this node. One of them is in another data centre, because such faults
+// often occur at the edge of a site.
 void Detector::sendIndirectProbes(std::uint64_t nonce, PendingProbe& probe, TimePoint now)
 {
     probe.isIndirect = true;
@@ -100,7 +100,7 @@
 
 // A node that receives no messages (its inbound path is broken, or it is isolated) cannot tell which members are dead.
 // It can still send, and its suspicions would make healthy members suspect everywhere. So a judgement made while
-// nothing was received stays local.
+// nothing was received is not shared with peers.
 void Detector::onProbeFailed(const PendingProbe& probe, TimePoint now)
 {
     auto* record = m_table.find(probe.target);
@@ -153,7 +153,8 @@
 
 void Detector::replyToPing(const MessageReceived& event)
 {
-    // The address may have been reassigned to this instance: a reply would keep the old instance alive.
+    // The ping may be meant for the previous instance at this address. After a reply, its sender would still consider
+    // that instance alive.
     if (event.message.target != NodeKey() && event.message.target != m_key)
         return;
     auto* sender = m_table.find(event.message.from);
@@ -205,15 +206,16 @@
     auto* record = m_table.find(event.message.target);
     if (!record || m_relays.size() >= maxRelays)
         return;
-    // Shows the requester that its messages arrive. Without this reply, a requester whose target is dead could not
-    // distinguish that from being isolated itself.
+    // Shows the requester that its messages arrive. Without this reply, the requester could not tell whether the target
+    // is dead or the requester itself is isolated.
     send(event.from, makeMessage(MessageKind::Gossip));
     auto nonce = m_random.next();
     m_relays[nonce] = Relay { event.from, event.message.nonce, event.now + m_options.indirectTimeout };
     sendToMember(*record, MessageKind::Ping, nonce);
 }
 
-/// Sends a message to the member itself. If the member is suspect or dead, the message says so, so that it can refute.
+/// Sends a message to the member itself. If the member is suspect or dead, the message carries that state, so that the
+/// member can refute it.
 void Detector::sendToMember(const MemberRecord& record, MessageKind kind, std::uint64_t nonce)
 {
     auto message = makeMessage(kind);
--- a/src/membership/detector.cc
+++ b/src/membership/detector.cc
@@ -47,9 +47,9 @@
 }
 
 // A process that was paused (stopped, swapped out or starved of CPU time) resumes with probes that seem unanswered and
-// suspicions that seem unrefuted. It would declare live members dead and gossip that. Ticks come several times a
-// second, so a long gap between two events reveals the pause. All pending judgements are then dropped, and no new ones
-// are made until peers have reported what happened in the meantime.
+// suspicions that seem unrefuted. It would declare live members dead and gossip these deaths. Ticks come several times
+// a second, so a long gap between two events reveals the pause. All pending judgements are then dropped, and no new
+// ones are made until peers have reported what happened in the meantime.
 void Detector::detectPause(TimePoint now)
 {
     auto gap = now - m_lastEventAt;
@@ -151,7 +151,8 @@
     for (auto& record : m_table.records()) {
         if (record.listed->state != ListedState::Leaving)
             continue;
-        // The mark is kept for this incarnation even if a later list, read from another replica, reports it live again.
+        // The mark is kept for this incarnation even if a later list, read from another replica, reports the member as
+        // live.
         record.isMarkedLeaving = true;
         if (record.key == m_key) {
             startLeaving();
--- a/src/membership/detector.h
+++ b/src/membership/detector.h
@@ -14,7 +14,7 @@
 /// Intervals, timeouts and fan-outs of failure detection. The defaults are given in docs/design/membership.md.
 struct DetectorOptions {
     milliseconds probeInterval { 500 };
-    milliseconds gossipInterval { 200 }; ///< Between datagrams that only carry updates, while fresh ones are queued.
+    milliseconds gossipInterval { 200 }; ///< Time between datagrams that only carry updates, if fresh ones are queued.
     milliseconds directTimeout { 400 }; ///< Wait for the reply to a ping before peers are asked to ping the member.
     milliseconds indirectTimeout { 600 }; ///< Wait for the indirect pings before the member becomes suspect.
     milliseconds suspicionTimeout { 3000 }; ///< Time within which a suspect has to refute the suspicion.
@@ -74,8 +74,8 @@
 /// Failure detector and gossip of membership updates, implemented as a reducer over its events.
 ///
 /// Follows SWIM (Das, Gupta, Motivala 2002): in each interval, the node pings one member. If the member does not reply,
-/// the node asks peers to ping it. If they get no reply either, the member becomes suspect, which it can refute with a
-/// higher sequence. If it does not refute the suspicion in time, it is declared dead.
+/// the node asks peers to ping it. If they get no reply either, the member becomes suspect. The member can refute the
+/// suspicion with a higher sequence. If it does not do so in time, it is declared dead.
 ///
 /// Differences from SWIM:
 /// - A death reported by a peer is never adopted. A node declares a death only after its own wait for a refutation.
--- a/src/membership/member-table.cc
+++ b/src/membership/member-table.cc
@@ -10,8 +10,9 @@
 
 /// Returns the health to adopt from a peer's report. A reported death is only adopted as a suspicion, because this node
 /// declares a death only after the member has had time to refute: otherwise, a peer that was isolated or paused could
-/// get healthy members dropped everywhere at once. The health of members of other regions is not tracked individually:
-/// regions that lose contact would each consider thousands of members suspect and fill their datagrams with updates.
+/// make all nodes drop healthy members at the same time. The health of members of other regions is not tracked
+/// individually: regions that lose contact would each consider thousands of members suspect and fill their datagrams
+/// with updates.
 Health acceptedHealth(const MemberRecord& record, Health reported)
 {
     if (record.locality == Locality::Remote)
@@ -84,7 +85,7 @@
     auto* record = find(update.member);
     if (!record)
         return MergeResult::Unchanged;
-    // A suspicion from a node that does not know the incarnation yet applies to the current one.
+    // A suspicion without an incarnation, from a node that does not know it yet, applies to the current incarnation.
     if (update.incarnation == OrderedIncarnation {} || record->incarnation == update.incarnation)
         return mergeSameIncarnation(*record, update);
     if (record->incarnation && update.incarnation < *record->incarnation)
--- a/src/membership/member-table.h
+++ b/src/membership/member-table.h
@@ -28,7 +28,7 @@
     Health health { Health::Alive };
     bool isMarkedLeaving { false }; ///< The member, a peer or the list marked the current incarnation as leaving.
     bool isDirectlyReachable { true };
-    bool isHealthLocal { false }; ///< `health` was judged while nothing was received. Never shared with peers.
+    bool isHealthLocal { false }; ///< `health` was judged while this node received nothing. Never shared with peers.
     TimePoint suspicionDeadline; ///< Time at which a suspect is declared dead.
 
     bool isLeaving() const { return isMarkedLeaving || listed->state == ListedState::Leaving; }
--- a/src/membership/update-queue.h
+++ b/src/membership/update-queue.h
@@ -21,7 +21,7 @@
     std::vector<MemberUpdate> take(std::size_t maxCount);
     /// Drops updates that report a member as suspect or dead, except those that also carry a leaving mark.
     void dropHealthUpdates();
-    /// Returns true if any update has been sent less than half of its times.
+    /// Returns true if any update has been sent less than half as often as it has to be.
     bool hasFreshUpdates() const;
     std::size_t size() const { return m_entries.size(); }
 
--- a/test/expertmap-coordinator_test.cc
+++ b/test/expertmap-coordinator_test.cc
@@ -99,7 +99,7 @@
 {
     // Guards against ranks that run different maps after two agents were replaced and one engine restarted. An old
     // coordinator, which had the other rank's answer, armed its own engine last, after its successor had already read
-    // it. If the engine of rank 0 is armed first, every successor finds the switch point there.
+    // that engine's status. If the engine of rank 0 is armed first, every successor finds the switch point there.
     Driver driver;
     driver.tick(2);
     for (auto& it : driver.statuses)
@@ -117,8 +117,8 @@
 TEST_CASE("Coordinator admits rank 0 alone when no rank is admitted")
 {
     // Guards against one rank that runs another map than the rest after a power cut: a late order admitted it with an
-    // older map while the others were admitted with the one requested now. All ranks must follow one engine, so one is
-    // admitted first.
+    // older map while the others were admitted with the one requested now. All ranks must follow the map of one engine,
+    // so the engine of rank 0 is admitted first.
     Driver driver;
     for (auto& it : driver.statuses)
         it.isAdmitted = false;
@@ -200,9 +200,9 @@
 
 TEST_CASE("Rank agent refuses an order with an older fencing number and reports the newer one")
 {
-    // Guards against a rank that loads weights of a map that is no longer requested. The order comes from a superseded
-    // coordinator that was frozen and woke up. The engine ignores fencing numbers, but the agent in its slot checks
-    // them.
+    // Guards against a rank that loads weights of a map that is no longer requested. The order to load them comes from
+    // a superseded coordinator that was frozen and woke up. The engine ignores fencing numbers, but the agent in its
+    // slot checks them.
     auto agent = RankAgent::create({ RankIndex(1), Incarnation(5) }).value();
     TimePoint now;
     agent.start(now);
--- a/test/expertmap-failures_test.cc
+++ b/test/expertmap-failures_test.cc
@@ -60,9 +60,9 @@
 
 TEST_CASE("Coordinator killed between its confirmations: the held ranks follow those that have switched")
 {
-    // Guards against a group that stops for good or returns wrong results. The coordinator dies after one rank was sent
-    // `Go` and has entered the switch step with the new map, while the others hold. Its successor does not know about
-    // the change: it has to read the ranks and must not cancel the change.
+    // Guards against a group that stops permanently or returns wrong results. The coordinator dies after one rank was
+    // sent `Go` and has entered the switch step with the new map, while the others hold. Its successor does not know
+    // about the change: it has to read the ranks and must not cancel the change.
     auto group = makeSteppingGroup();
     group.requestMap(second);
     REQUIRE(runUntilPhase(group, CoordinatorPhase::Confirming));
@@ -131,7 +131,7 @@
 TEST_CASE("Late orders to go and to cancel: an engine that is not armed for their switch point ignores them")
 {
     // A frozen agent wakes and writes an order of a change that has long been finished or cancelled. The engine ignores
-    // fencing numbers, but the order names its switch point and the engine is not armed for that one.
+    // fencing numbers, but the order names its switch point and the engine is not armed for that switch point.
     auto group = makeSteppingGroup();
     SwitchPoint old { third, StepNumber(3) };
     group.writeToEngine(1, orderFrom(1, Go { old }));
@@ -144,8 +144,8 @@
 
 TEST_CASE("Engine restarted while the group holds: it comes back armed")
 {
-    // An engine dies just as the last rank is armed, and its instance restarts it without a map or with the map that it
-    // was first started with. If the engine stepped with that map, the others would run the new map at the same time.
+    // An engine dies just as the last rank is armed, and its instance restarts the engine without a map or with the map
+    // of its first start. If the engine stepped with that map, the others would run the new map at the same time.
     for (bool hasOldMap : { false, true }) {
         CAPTURE(hasOldMap);
         auto group = makeSteppingGroup();
@@ -159,7 +159,7 @@
 TEST_CASE("Whole group restarted: rank 0 is admitted first and the others follow its map")
 {
     // After a power cut all engines start empty. A late order of an earlier coordinator admits rank 0 with another map
-    // than the one requested now. If all ranks were admitted at once, two maps would run at the same time.
+    // than the one requested now. If all ranks were admitted together, two maps would run at the same time.
     auto group = makeSteppingGroup();
     group.requestMap(second);
     REQUIRE(group.runUntil([&] { return group.allRun(second); }, 600));
@@ -188,8 +188,8 @@
 TEST_CASE("Settings edited during a change: it is withdrawn before a rank is armed and completed after that")
 {
     // An operator changes the weights in the settings while a change is in progress. Before any rank is armed, the
-    // group keeps the old map. Later the group first finishes the change and then follows the newer request. No rank is
-    // left holding.
+    // group keeps the old map. Once rank 0 may be armed, the group first finishes the change and then follows the newer
+    // request. No rank is left holding.
     auto group = makeSteppingGroup();
     group.requestMap(second);
     REQUIRE(runUntilPhase(group, CoordinatorPhase::Staging));
--- a/test/expertmap-planner_test.cc
+++ b/test/expertmap-planner_test.cc
@@ -140,9 +140,9 @@
 
 TEST_CASE("Slow rank is distinguished from a hot expert and receives fewer tokens")
 {
-    // Failure: one rank holds back its group though its experts are not in demand. Moving experts by load alone does
-    // not help, because the rank is slow at equal tokens. It must be reported as a straggler, and its tokens must go
-    // to replicas on other ranks.
+    // Guards against one rank that slows down its group although its experts are not in demand. Moving experts by load
+    // alone does not help, because the rank is slow even with as many tokens as the others. The rank must be reported
+    // as a straggler, and its tokens must go to replicas on other ranks.
     auto detector = StragglerDetector::create(4, {}).value();
     std::vector<double> tokens { 4000, 1000, 1000, 1000 };
     for (int n = 0; n < 10; ++n)
@@ -216,8 +216,8 @@
 
 TEST_CASE("Recorded noise: no expert is moved")
 {
-    // Failure: weights are loaded all day though demand is even. Reports differ by chance, and a policy that takes
-    // chance for demand moves experts back and forth.
+    // Guards against weights that are loaded all day although demand is even. Reports differ by chance, and a policy
+    // that takes these differences for demand moves experts back and forth.
     auto runs = replayAll(readRecordedTrace(TraceKind::Noise));
     CHECK(runs["via-he"].expertsMoved == 0);
     CHECK(runs["rasoi"].expertsMoved == 0);
--- a/test/expertmap-protocol_test.cc
+++ b/test/expertmap-protocol_test.cc
@@ -99,8 +99,8 @@
 struct Scenario {
     Fault fault { Fault::KillAgent };
     std::uint32_t rank { 0 };
-    /// Turns from the request for the second map to the fault, from there to its end, and from there until frozen
-    /// processes wake.
+    /// Number of turns from the request for the second map to the start of the fault, from the start to the end of the
+    /// fault, and from its end until frozen processes wake.
     int at { 0 };
     int length { 0 };
     int wakeAfter { 0 };
@@ -171,8 +171,9 @@
 
 TEST_CASE("Map change: two faults together leave one map in every step")
 {
-    // Guards against the same after a rack fails: two ranks fail at once or shortly after one another, with or without
-    // rank 0, and old processes of both slots wake up late and send orders that they decided on long ago.
+    // Guards against a group that stalls or returns wrong results after a rack fails: two ranks fail at the same time
+    // or shortly after one another, with or without rank 0, and old processes of both slots wake up late and send
+    // orders that they decided on long ago.
     std::mt19937_64 random(2026);
     auto draw = [&](int low, int high) { return std::uniform_int_distribution<int>(low, high)(random); };
     for (int n = 0; n < doubleFaultRuns; ++n) {
--- a/test/membership-fleet_test.cc
+++ b/test/membership-fleet_test.cc
@@ -123,9 +123,9 @@
 
 TEST_CASE("A process that receives no messages does not make others suspect", "[membership]")
 {
-    // The inbound path of one process breaks, but it can still send. None of its pings is answered. If it mistook its
-    // own fault for the death of the others, its suspicions would reach the fleet, which would then drop healthy
-    // members.
+    // The inbound path of one process breaks, but it can still send. None of its pings is answered. If the process
+    // mistook its own fault for the death of the others, its suspicions would reach the fleet, which would then drop
+    // healthy members.
     FakeFleet fleet({});
     startReady(fleet);
     auto before = fleet.sumCounters();
@@ -133,7 +133,7 @@
     fleet.run(seconds(60));
     for (std::size_t i = 0; i < fleet.size(); ++i) {
         if (i != 3)
-            CHECK(fleet.countHealth(i, Health::Dead) <= 1); // by the isolated process itself
+            CHECK(fleet.countHealth(i, Health::Dead) <= 1); // at most in the view of the isolated process
     }
     auto after = fleet.sumCounters();
     CHECK(after.suspicionsRefuted - before.suspicionsRefuted == 0);
--- a/test/process/expert-maps_test.cc
+++ b/test/process/expert-maps_test.cc
@@ -18,7 +18,7 @@
 constexpr std::size_t ranks = 4;
 constexpr seconds waitTimeout { 20 };
 
-/// Four engines that step as one group, with two experts and one spare slot per rank. Reports take effect at once.
+/// Four engines that step as one group, with two experts and one spare slot per rank. Reports take effect immediately.
 Fleet::Options groupOf(std::vector<std::string> engineOptions)
 {
     Fleet::Options options;
--- a/test/replica-planner_test.cc
+++ b/test/replica-planner_test.cc
@@ -91,8 +91,8 @@
     CHECK(planner.plan(roundRobinMap()).reason == PlanReason::NoGain);
 }
 
-// Failure: demand shifts suddenly, and a planner that remembers the old demand for too long plans for demand that is
-// over.
+// Guards against plans for demand that is over: demand shifts suddenly, and the planner remembers the old demand for
+// too long.
 TEST_CASE("ReplicaPlanner: the plan follows a shift of demand after a few half-lives")
 {
     ReplicaPlanner::Options options;
@@ -116,8 +116,9 @@
     CHECK_FALSE(ReplicaPlanner::create(shape, options).has_value());
 }
 
-// Failure: steps are slow for half a second after each shift of demand. While the history still holds the old demand,
-// the first plan suits neither demand, and ranks load experts that nobody requests; only the second plan helps.
+// Guards against steps that are slow for half a second after each shift of demand. While the history still holds the
+// old demand, the first plan suits neither demand, and ranks load experts that nobody requests. Only the second plan
+// helps.
 TEST_CASE("ReplicaPlanner: a shift of demand discards the history at once")
 {
     auto planner = plannerFor(1);
@@ -134,8 +135,9 @@
     CHECK(std::equal(map->slots().begin(), map->slots().end(), onlyNew->slots().begin(), onlyNew->slots().end()));
 }
 
-// Failure: a report straddles the shift, so that half of its tokens belong to the old demand. A planner that takes it
-// for the new demand plans for the mixture.
+// Guards against a plan for a mixture of two demands. Demand shifts within the time that a report covers, so half of
+// the report's tokens belong to the old demand. A planner that takes this report for the new demand plans for the
+// mixture.
 TEST_CASE("ReplicaPlanner: a report with both demands is distinguished from the one after it")
 {
     auto planner = plannerFor(1);
@@ -153,9 +155,9 @@
     CHECK(planner.shiftedAt() == now - milliseconds(50));
 }
 
-// Failure: the counts of few ranks differ from report to report, depending on the requests that these ranks happen to
-// run. If the differences count as shifts, maps are planned from single reports: 72 changes instead of 26 on a calm
-// day.
+// Guards against changes that no shift of demand calls for. The counts of few ranks differ from report to report,
+// depending on the requests that these ranks happen to run. If the differences count as shifts, maps are planned from
+// single reports: 72 changes instead of 26 on a calm day.
 TEST_CASE("ReplicaPlanner: reports that always differ from each other indicate no shift")
 {
     auto planner = plannerFor(1);
@@ -173,9 +175,9 @@
     CHECK(shifts == 0);
 }
 
-// Failure: 64 ranks run with three times the mean load on the most loaded one, and every step is slow for the whole
-// day. A change would take a fifth of a second, as all ranks copy in parallel, but the planner charged it for the
-// copies of all ranks together and made none.
+// Guards against a large group that never changes its map. 64 ranks ran with three times the mean load on the most
+// loaded one, and every step was slow for the whole day. A change would have taken a fifth of a second, because all
+// ranks copy in parallel. But the planner charged the change for the copies of all ranks together and made none.
 TEST_CASE("ReplicaPlanner: a change of 64 ranks is charged only for the copies of one rank")
 {
     MapShape large { 64, 12, 256, 5 };
@@ -201,8 +203,8 @@
     CHECK(planner.imbalance(*plan.map) < 1.5);
 }
 
-// Failure: one of twelve engines slows to half its speed. Every step of the group waits for it, so the output of all
-// twelve engines is late, although any experts could be placed on it. It must get the experts with the least demand.
+// One of twelve engines slows to half its speed. Every step of the group waits for this engine, so the output of all
+// twelve engines is late. Any experts could be placed on the slow engine, so it must get those with the least demand.
 TEST_CASE("ReplicaPlanner: a slow rank gets the experts with the least demand")
 {
     for (unsigned seed = 1; seed <= 5; ++seed) {
