--- a/include/swiftloft/expertmap/coordinator.h
+++ b/include/swiftloft/expertmap/coordinator.h
@@ -79,7 +79,7 @@
 const char* toString(CoordinatorPhase phase);
 
 /// The single coordinator of a rank group, run by the agent of rank 0. The ranks step in lock-step and can't step
-/// without rank 0, so there is no leader election: the failure of the coordinator stops the group anyway.
+/// without rank 0. If the coordinator fails, the group stops anyway, so there is no leader election.
 ///
 /// The coordinator decides by the state of the engines only, not by anything it remembers. A switch for which any rank
 /// is armed is always completed, unless some rank has already entered the switch step with the old map. Two
--- a/include/swiftloft/expertmap/protocol.h
+++ b/include/swiftloft/expertmap/protocol.h
@@ -138,7 +138,7 @@
     std::optional<EngineStatus> status;
 };
 
-/// Token counts and experts held of one rank, for the planner at rank 0.
+/// Token counts of one rank and the experts that it holds, for the planner at rank 0.
 struct RankLoads {
     RankIndex rank;
     /// Counts restart at zero with each incarnation of the engine.
--- a/include/swiftloft/expertmap/straggler.h
+++ b/include/swiftloft/expertmap/straggler.h
@@ -10,8 +10,8 @@
 
 namespace swiftloft::expertmap {
 
-/// Distinguishes slow hardware from a hot expert: detects ranks that take longer than the others for the same number
-/// of tokens.
+/// Distinguishes slow hardware from an expert in high demand: detects ranks that take longer than the others for the
+/// same number of tokens.
 ///
 /// Uses a threshold with persistence: a rank is a straggler when its time per token, relative to the median of the
 /// ranks, stays above a bound for several consecutive observations. docs/design/expert-maps.md compares this method
--- a/src/expertmap/layer-model.h
+++ b/src/expertmap/layer-model.h
@@ -67,8 +67,9 @@
     double m_norm { 0 };
 };
 
-/// Returns a lower bound of the time of any placement: the mean, or the time of the hottest expert spread over
-/// `maxReplicas` ranks. `loads` holds the loads of one layer; `totalSpeed` is the sum over all ranks.
+/// Returns a lower bound of the time of any placement: the mean, or the time of the expert with the most tokens when
+/// these are spread over `maxReplicas` ranks. `loads` holds the loads of one layer; `totalSpeed` is the sum over all
+/// ranks.
 double lowerBound(std::span<const double> loads, double totalSpeed, std::uint32_t maxReplicas);
 
 } // namespace swiftloft::expertmap::internal
--- a/src/expertmap/layer-search.h
+++ b/src/expertmap/layer-search.h
@@ -9,19 +9,21 @@
 
 namespace swiftloft::expertmap::internal {
 
+/// A slot and the expert that a change puts into it.
 struct FilledSlot {
     std::uint32_t slot { 0 };
     std::uint32_t expert { 0 };
 };
 
+/// One change that the search has applied.
 struct SearchStep {
     /// Predicted time saved, as a fraction of the layer's mean time.
     double gain { 0 };
     std::vector<FilledSlot> filled;
 };
 
-/// Local search over the placement of one layer. The gain of a change is the weighted mean of its gains under the
-/// fast and the slow estimate, where the slow one has the weight `slowWeight`.
+/// Local search over the placement of one layer. The gain of a change is the weighted mean of its gains under the fast
+/// and the slow average of `LoadEstimate`, where the slow one has the weight `slowWeight`.
 class LayerSearch {
 public:
     LayerSearch(const MapShape& shape, std::span<const ExpertIndex> slots, std::span<const double> fast, std::span<const double> slow,
@@ -32,8 +34,9 @@
     /// Amount by which the predicted time of the layer exceeds its mean time, as a fraction of the mean. No change can
     /// gain more than this.
     double excess() const;
-    /// Applies the change with the best gain per moved expert, if that gain is at least `minGain` and the change
-    /// moves at most `budget` experts. Adds the number of predictions made to `predictions`.
+    /// Applies the change with the best gain per moved expert, if that gain is at least `minGain` and the change moves
+    /// at most `budget` experts. Returns `nullopt` if there is no such change. Adds the number of predictions made to
+    /// `predictions`.
     std::optional<SearchStep> improve(double minGain, std::uint64_t budget, std::uint32_t& predictions);
 
 private:
--- a/src/membership/address-answer.cc
+++ b/src/membership/address-answer.cc
@@ -84,7 +84,7 @@
 }
 
 /// If the first `n` candidates are all in one data centre, replaces the last of them by the best candidate of another
-/// data centre, unless that one is suspect.
+/// data centre, unless that candidate is suspect.
 void diversifyDataCentres(std::vector<Candidate>& candidates, std::size_t n)
 {
     if (n < 2 || candidates.size() <= n)
--- a/src/membership/detector-updates.cc
+++ b/src/membership/detector-updates.cc
@@ -34,8 +34,8 @@
 
 // After a partition, each side considers the other dead, but no longer gossips these deaths: a member would learn of
 // its death, and refute it, only when it is probed. So a node that receives a message from a dead member immediately
-// notifies that member of its own death and of the deaths of other members of its data centre, which gossip them among
-// themselves.
+// notifies that member of its own death and of the deaths of other members of its data centre. The member refutes its
+// own death and gossips the other deaths on its side, so that those members can refute them too.
 void Detector::notifyRevivedMember(const MessageReceived& event)
 {
     auto* sender = m_table.find(event.message.from);
