--- a/src/expertmap/layer-model.h
+++ b/src/expertmap/layer-model.h
@@ -7,7 +7,8 @@
 #include <vector>
 
 /// Predicts the time of one layer under a placement. The tokens of an expert are split among its replicas so that the
-/// ranks that hold it finish as evenly as possible. All times are in tokens at speed 1.
+/// ranks that hold it finish as evenly as possible. All times are given as the number of tokens that a rank of speed 1
+/// processes in that time.
 namespace swiftloft::expertmap::internal {
 
 /// Puts `expert` into `slot` and drops the content of the slot. If `swapSlot` is set, the content moves there
@@ -66,8 +67,9 @@
     double m_norm { 0 };
 };
 
-/// Returns a lower bound of the time of any placement: the mean, or the time of the hottest expert spread over
-/// `maxReplicas` ranks. `loads` holds the loads of one layer; `totalSpeed` is the sum over all ranks.
+/// Returns a lower bound of the time of any placement: the mean, or the time of the expert with the most tokens when
+/// these are spread over `maxReplicas` ranks. `loads` holds the loads of one layer; `totalSpeed` is the sum over all
+/// ranks.
 double lowerBound(std::span<const double> loads, double totalSpeed, std::uint32_t maxReplicas);
 
 } // namespace swiftloft::expertmap::internal
