--- a/src/entry/backend-server-registry.cc
+++ b/src/entry/backend-server-registry.cc
@@ -88,7 +88,8 @@
     if (it == m_servers.end())
         return;
     auto& server = it->second;
-    // A new incarnation is a new process in the slot; the leaving state of the old process does not apply to it.
+    // A new incarnation means that the server's agent process was replaced; the leaving state of the old process does not
+    // apply to the new one.
     if (server.incarnation != event.report.incarnation)
         server.isLeaving = event.report.isLeaving;
     server.incarnation = event.report.incarnation;
--- a/src/entry/worker.h
+++ b/src/entry/worker.h
@@ -27,9 +27,10 @@
     boost::asio::ip::tcp::endpoint listen;
 };
 
-/// A traffic thread of an entry. Owns client connections, links to agents and the responses in transit between them.
-/// The worker makes no decisions about requests: it posts events to the control thread and carries out the effects that
-/// the reducer returns.
+/// A traffic thread of an entry, the process that accepts client requests and sends them to backend servers. Owns client
+/// connections, links to agents and the responses in transit between them. The worker makes no decisions about requests:
+/// it posts events to the control thread and carries out the effects that the reducer returns. The reducer (`Reducer`)
+/// is the state machine on the control thread that makes these decisions.
 class Worker {
 public:
     struct Hooks {
@@ -37,8 +38,8 @@
         std::function<void(std::vector<Event>)> post;
         /// Requests a status page. Called on the worker's thread; `reply` may be called on any thread.
         std::function<void(std::string target, std::function<void(process::StatusAnswer)> reply)> statusPage;
-        /// Called for each `Finish` that this worker receives while it has no open exchange. Not called while the
-        /// worker is busy.
+        /// Called each time the worker receives `Finish` and has no open exchange. A worker with open exchanges ignores
+        /// `Finish`; the reducer repeats it on each tick until all workers are idle.
         std::function<void()> onFinished;
     };
 
--- a/src/expertmap/replay/baselines.cc
+++ b/src/expertmap/replay/baselines.cc
@@ -47,8 +47,7 @@
             if (used[r] < shape.slotsPerRank && !isHeld && (best == shape.ranks || times[r] < times[best]))
                 best = r;
         }
-        // The last replicas may find no rank that has a free slot and does not hold the expert yet; they are left
-        // out.
+        // Skips the replica if every rank is full or already holds the expert, which can happen for the last replicas.
         if (best == shape.ranks)
             continue;
         slots[best * shape.slotsPerRank + used[best]++] = ExpertIndex(replica.expert);
--- a/src/expertmap/wire.h
+++ b/src/expertmap/wire.h
@@ -7,8 +7,8 @@
 
 #include <span>
 
-/// Conversion between the types of the protocol and their Cap'n Proto messages. Received messages are not trusted:
-/// `parse` fails with `MalformedInput` on anything that the protocol could not have sent. No function throws.
+/// Converts between protocol types and Cap'n Proto messages. Received messages are not trusted: `parse` fails with
+/// `MalformedInput` on messages that violate the protocol. No function throws.
 namespace swiftloft::expertmap::wire {
 
 /// Limits on values accepted from a peer.
--- a/src/gateway/request-exchange.cc
+++ b/src/gateway/request-exchange.cc
@@ -8,7 +8,8 @@
 
 #include <array>
 
-/// One attempt of a request at a backend server: the part of `RequestServer` that communicates with servers.
+/// Implements the part of `RequestServer` that makes one attempt at a request: it sends the request to a backend server and
+/// reads the response.
 namespace swiftloft::gateway {
 
 namespace asio = boost::asio;
@@ -20,8 +21,8 @@
 
 using ResponseParser = http::response_parser<http::buffer_body>;
 
-/// A connection within a region opens in a few milliseconds. A server that takes longer is cut off, or its accept queue is
-/// full, in which case the network retries only after a second.
+/// Connections within a region are established in a few milliseconds. If it takes longer, the server is unreachable or its
+/// accept queue is full. Waiting does not help in the latter case, because TCP retransmits the SYN only after one second.
 constexpr milliseconds connectTimeout { 250 };
 /// Upper bound of a response that is buffered completely before it is forwarded.
 constexpr std::size_t maxResponseBytes = 64U << 20;
@@ -29,10 +30,11 @@
 constexpr unsigned misdirected = 421;
 /// Number of responses to earlier requests that are discarded before the connection is given up.
 constexpr int maxStrayResponses = 2;
-/// Timeout for a silent server, in multiples of the route's objective. Applies to idempotent requests while another server
-/// can be tried.
+/// Time from the start of sending a request within which the response must be complete, in multiples of the route's latency
+/// objective. Applies only to idempotent, non-streaming requests of a route with an objective, and only while another
+/// server can be tried if this one does not respond.
 constexpr int silenceTimeoutObjectives = 3;
-/// Part of the deadline that is reserved for the entry's own final response.
+/// Time reserved before the deadline so that the entry's own error response still reaches the client.
 constexpr milliseconds responseMargin { 20 };
 
 constexpr std::array hopByHopFields { http::field::connection, http::field::keep_alive, http::field::proxy_authenticate, http::field::proxy_authorization,
@@ -116,9 +118,11 @@
         if (parser.get().result_int() == 100)
             continue;
         auto head = m_protocol.decodeResponse(parser.get().base(), Clock::now());
-        // A response to a misdirected request comes from another server.
+        // Status 421 (Misdirected Request): the request reached a server other than the selected one, so the fields of
+        // the response do not describe the selected server.
         bool isFromServer = head.status != misdirected;
-        // These fields apply to the server, whichever request the response belongs to.
+        // The back-off and leaving fields describe the server, so they are also applied from responses to earlier
+        // requests.
         if (isFromServer) {
             recordBackOff(call, connection->server, head);
             recordLeaving(call, connection->server, head);
@@ -193,7 +197,7 @@
             ec = {};
         if (ec == beast::error::timeout)
             co_return Clock::now() + responseMargin >= call.deadline ? AttemptOutcome::TimedOut : AttemptOutcome::Lost;
-        // A response without a length is complete only if its connection is closed in order.
+        // A response without a length is complete only if its connection is closed cleanly.
         if (ec || body.size() > maxResponseBytes)
             co_return AttemptOutcome::Lost;
     }
@@ -259,8 +263,8 @@
     co_return AttemptOutcome::Answered;
 }
 
-/// Forwards the events that `bytes` complete. Returns false if an event does not directly follow the last one that the
-/// client has.
+/// Appends `bytes` to the stream and forwards each event that is then complete. Skips events that the client already has,
+/// according to their ids. Returns false if the ids show that an event is missing.
 asio::awaitable<bool> RequestServer::forwardEvents(Call& call, std::string_view bytes)
 {
     std::string out;
--- a/src/gateway/request-server.h
+++ b/src/gateway/request-server.h
@@ -17,7 +17,7 @@
 namespace swiftloft::gateway {
 
 /// Serves client requests: looks up the route, asks the dispatcher for a decision, sends the request to a backend server and
-/// forwards the response. Belongs to the traffic thread.
+/// forwards the response. Must only be used on the traffic thread, which owns the sockets.
 class RequestServer {
 public:
     using SnapshotSource = std::function<std::shared_ptr<const Snapshot>()>;
--- a/src/membership/member-table.cc
+++ b/src/membership/member-table.cc
@@ -85,13 +85,14 @@
     auto* record = find(update.member);
     if (!record)
         return MergeResult::Unchanged;
-    // A suspicion without an incarnation, from a node that does not know it yet, applies to the current incarnation.
+    // An update without an incarnation comes from a node that does not know the member's incarnation yet. It applies to
+    // the current incarnation.
     if (update.incarnation == OrderedIncarnation {} || record->incarnation == update.incarnation)
         return mergeSameIncarnation(*record, update);
     if (record->incarnation && update.incarnation < *record->incarnation)
         return MergeResult::Outdated;
-    // A new incarnation does not inherit the suspicions or the leaving mark of the previous one. The state of the
-    // instance in the list still applies, see `isLeaving`.
+    // A new incarnation does not inherit the suspicion or the leaving mark of the previous one. A mark that was set
+    // before any incarnation was known is kept. `isLeaving` also takes the state in the instance list into account.
     auto keepsLeavingMark = !record->incarnation && record->isMarkedLeaving;
     record->incarnation = update.incarnation;
     record->sequence = update.sequence;
--- a/src/membership/random.h
+++ b/src/membership/random.h
@@ -7,8 +7,9 @@
 
 namespace swiftloft::membership {
 
-/// Seeded pseudo-random number generator (splitmix64). Part of a reducer's state, so that the same events produce the
-/// same effects in every run and with every standard library.
+/// Seeded pseudo-random number generator (splitmix64). Implemented here because a seed must give the same sequence with
+/// every standard library. A reducer keeps its generator in its state, so that the same events always produce the same
+/// effects.
 class Random {
 public:
     explicit Random(std::uint64_t seed)
