--- a/src/gateway/control-state-servers.cc
+++ b/src/gateway/control-state-servers.cc
@@ -36,7 +36,7 @@
     BackendServerId id(item.name);
     if (item.isRemoved) {
         m_loggedRejections.erase(item.name);
-        // A server whose entry may only have expired stays in use for a while, and its document is kept as long.
+        // A server whose list entry may only have expired stays in use for a while, and its document is kept as long.
         if (auto incarnation = m_servers.remove(now, item.position(), id)) {
             markLeavingChanged(m_departures.onRemoved(now, hashOf(*incarnation), item.position()));
             m_serverItems.erase(item.name);
@@ -120,8 +120,8 @@
     log::write(log::Event::ListChangeLeftOut, "server=\"{}\" era={} revision={} known-era={} known={}", printable(item.name), item.era.value(), item.revision, known.era.value(), known.revision);
 }
 
-/// Returns `nullopt` for an entry that can't be decoded. Logs the reason for this, or that the entry names an unknown
-/// service.
+/// Returns `nullopt` for a list entry that can't be decoded. Logs the reason for this, or that the list entry names an
+/// unknown service.
 std::optional<BackendServer> ControlState::decodeServer(const PublishedItem& item)
 {
     if (!item.problem.empty()) {
@@ -187,7 +187,7 @@
 }
 
 /// Returns one server for each address: the one that was listed there last. Many servers may lose power together and
-/// return within a second, under new ids at their old addresses. Their old entries stay listed until missing heartbeats
+/// return within a second, under new ids at their old addresses. Their old list entries stay until missing heartbeats
 /// are noticed. A request sent to the old ids would be rejected by one server after the other until its attempts are
 /// exhausted.
 std::vector<BackendServer> ControlState::usableServers() const
--- a/src/gateway/control-state.cc
+++ b/src/gateway/control-state.cc
@@ -264,7 +264,7 @@
 
 void ControlState::updateReadiness(TimePoint now)
 {
-    // An entry that has just started relies on its peers only if the store doesn't answer. A peer that is itself
+    // An entry that has just started relies on its peers only if the store doesn't respond. A peer that is itself
     // disconnected from the store could send it an old configuration, and the entry would accept keys that have been
     // revoked since.
     bool mayTrustPeers = m_hasStoreAnswered || now >= m_startupStoreDeadline;
--- a/src/gateway/control-state.h
+++ b/src/gateway/control-state.h
@@ -95,8 +95,8 @@
     /// within it that an entry is stopping.
     static constexpr milliseconds helloInterval { 400 };
     static constexpr milliseconds minWatchTime { 3000 };
-    /// Maximum delay until this entry tells its peers that the store has started or stopped answering it. The two
-    /// topics usually change together, and the delay lets one hello report both.
+    /// Maximum delay until this entry reports to its peers that the store has started or stopped responding to it. The
+    /// two topics usually change together, and the delay lets one hello report both.
     static constexpr milliseconds watchChangeHelloDelay { 50 };
     /// A starting entry relies on its peers when the store has not responded for this long. A healthy store responds
     /// in milliseconds, and a store that is down must not keep the fleet from starting.
@@ -108,7 +108,7 @@
     static constexpr milliseconds newEpochBriefDelay { 40 };
     /// Minimum time from the start of an entry to its first brief. By then the entry has received hellos from the
     /// others. Without this delay, all entries of a large fleet would consider themselves relays of their data centre
-    /// (the entries that agents report to), and every agent would answer all of them.
+    /// (the entries that agents report to), and every agent would send its rank status to all of them.
     static constexpr milliseconds startupBriefDelay { 150 };
     /// Minimum interval between announcements of closed or slow ranks. The ranks of a group close and open within about
     /// 50 ms.
--- a/src/gateway/server-registry.cc
+++ b/src/gateway/server-registry.cc
@@ -7,7 +7,7 @@
 
 std::optional<TimePoint> ServerRegistry::graceUntil(TimePoint now) const
 {
-    // While the store is down, the heartbeats of running servers are not received, and their entries expire. If all of
+    // While the store is down, the heartbeats of running servers are not received, and their list entries expire. If all of
     // these servers were removed, a service would have no servers although each of them still responds.
     if (m_isStoreUnreachable)
         return TimePoint::max();
--- a/src/gateway/server-registry.h
+++ b/src/gateway/server-registry.h
@@ -30,11 +30,11 @@
     bool replaceAllFromPeer(StorePosition position, const std::vector<BackendServer>& servers);
     /// Applies the write of one list entry, as of `position`.
     bool upsert(StorePosition position, const BackendServer& server);
-    /// Applies the removal of one entry, as of `position`. Returns the incarnation that has ended, or `nullopt` when
-    /// its entry may only have expired.
+    /// Applies the removal of one list entry, as of `position`. Returns the incarnation that has ended, or `nullopt`
+    /// when its list entry may only have expired.
     std::optional<ServerIncarnation> remove(TimePoint now, StorePosition position, const BackendServerId& id);
-    /// Applies the write of one entry that names no usable server, as of `position`. Returns true if the entry named a
-    /// usable server before.
+    /// Applies the write of one list entry that names no usable server, as of `position`. Returns true if the list entry
+    /// named a usable server before.
     bool dropUnreadable(StorePosition position, const BackendServerId& id);
     void advanceTo(StorePosition position);
 
--- a/src/gateway/store-follower.h
+++ b/src/gateway/store-follower.h
@@ -18,11 +18,11 @@
     using OnEvent = std::function<void(const control::Event&)>;
 
     /// How long one watch waits for a change. A connection whose other end no longer responds is noticed only when a
-    /// watch is not answered in time. A published configuration must be in force within two seconds, so the wait must
+    /// watch gets no response in time. A published configuration must be in force within two seconds, so the wait must
     /// be shorter than that.
     static constexpr milliseconds watchTimeout { 1500 };
-    /// Time that the store may take to answer a call, in addition to the waiting time of a watch. A healthy store
-    /// answers in 4 ms, a slow one took up to 250 ms.
+    /// Time that the store may take to respond to a call, in addition to the waiting time of a watch. A healthy store
+    /// responds in 4 ms, a slow one took up to 250 ms.
     static constexpr milliseconds answerTimeout { 900 };
     /// Delay of the next watch after one that returned changes. Changes come in bursts, for example when a group of
     /// servers starts. The delay lets one call fetch several of them: calls are expensive, and a change has seconds to
@@ -45,9 +45,9 @@
 private:
     boost::asio::awaitable<void> follow(TimePoint notBefore);
     boost::asio::awaitable<void> poll();
-    /// Returns true when the cursor's decision `answer` is to apply the items that the store returned, and false when
+    /// Returns true when `action`, the cursor's decision, is to apply the items that the store returned, and false when
     /// they must be ignored. Throws `Stale` when the items are from before a restore of the store.
-    bool shouldApply(StoreCursor::Action answer, StoreEra previousEra);
+    bool shouldApply(StoreCursor::Action action, StoreEra previousEra);
     boost::asio::awaitable<void> backOff();
     boost::asio::awaitable<void> sleepUntil(TimePoint time);
 
--- a/src/membership/detector-updates.cc
+++ b/src/membership/detector-updates.cc
@@ -111,7 +111,7 @@
         auto* listed = m_table.find(m_key);
         if (listed && listed->listed->peer != m_self.peer) {
             // Another process at another address has taken over this id. If this process raised its generation, the two
-            // would keep replacing each other forever, and callers would be sent to the old process.
+            // would keep replacing each other forever, and clients would be sent to the old process.
             m_isSuperseded = true;
             return startLeaving();
         }
--- a/test/entry-reducer_test.cc
+++ b/test/entry-reducer_test.cc
@@ -150,7 +150,7 @@
 }
 
 // Guards against running a non-repeatable request twice: the connection to its agent is lost, and the request may have
-// run. The caller gets the verdict immediately, and the request is sent to no other server.
+// run. The client gets the verdict immediately, and the request is sent to no other server.
 TEST_CASE("Entry: a non-repeatable request is not retried once it may have run")
 {
     Entry entry;
@@ -192,7 +192,7 @@
     CHECK(started(entry.arrive(2, "plain")).ticket.agentIncarnation == Incarnation(2));
 }
 
-// Guards against an attempt whose end is reported late: the attempt was cancelled at its deadline, and its caller was
+// Guards against an attempt whose end is reported late: the attempt was cancelled at its deadline, and its client was
 // answered. The end that is reported afterwards must have no effect and must not count as the end of a later attempt.
 TEST_CASE("Entry: the late end of a cancelled attempt is ignored")
 {
@@ -208,7 +208,7 @@
 }
 
 // Guards against a duplicate end: a server refuses a request, the request is sent to another server, and the end of the
-// first attempt is reported again. If this report counted as the end of the second attempt, the caller would be
+// first attempt is reported again. If this report counted as the end of the second attempt, the client would be
 // answered while the request is still running.
 TEST_CASE("Entry: a duplicate end of an earlier attempt does not end the next one")
 {
@@ -222,7 +222,7 @@
 }
 
 // Guards against a request that crashes one engine after the other. After the first crash the request is retried once,
-// alone on its engine. After the second crash the request is refused, even if its caller sends it again under another
+// alone on its engine. After the second crash the request is refused, even if its client sends it again under another
 // key.
 TEST_CASE("Entry: a request that crashed two servers is refused at once")
 {
--- a/test/membership-fleet_test.cc
+++ b/test/membership-fleet_test.cc
@@ -209,7 +209,7 @@
 TEST_CASE("A process whose id was reassigned to another address starts leaving", "[membership]")
 {
     // An instance is considered lost and its id is assigned to a new one elsewhere. Then the old process resumes. If it
-    // kept the id, the two would replace each other in every view forever, and callers would reach either of them.
+    // kept the id, the two would replace each other in every view forever, and clients would reach either of them.
     FakeFleet fleet({});
     startReady(fleet);
     auto oldRow = fleet.node(2).row;
--- a/test/membership-reducers_test.cc
+++ b/test/membership-reducers_test.cc
@@ -172,7 +172,7 @@
 {
     // A process considers a member suspect and is paused for 30 s, while the member refutes. After the pause, datagrams
     // that were queued in the socket are processed first and show that other nodes are reachable. The suspicion then
-    // seems expired. If it counted, callers here would lose a healthy backend server, and the death would be gossiped.
+    // seems expired. If it counted, clients here would lose a healthy backend server, and the death would be gossiped.
     Detector detector(rowOf("self"), firstIncarnation, {}, {}, 1);
     DetectorEffects effects;
     auto now = TimePoint(std::chrono::hours(1));
--- a/test/rank-engine_test.cc
+++ b/test/rank-engine_test.cc
@@ -275,7 +275,7 @@
 
 // Guards against long pauses at a switch when engines leave a third of the commands unanswered for a while. The agent
 // waited for each lost response, and only the coordinator retried the command. Meanwhile the group stopped at the
-// switch, and its streams paused for longer than callers tolerate.
+// switch, and its streams paused for longer than clients tolerate.
 TEST_CASE("Rank engine: with a third of the commands unanswered, a change stops the group only briefly")
 {
     int held = 0;
